--- a/crates/gateway/src/rules_in_force.rs
+++ b/crates/gateway/src/active_rules.rs
@@ -8,14 +8,14 @@
 
 /// Rules as one host passes them on to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum RulesNews {
+pub(crate) enum RulesUpdate {
     /// The whole document.
     Entire(Arc<RulesDocument>),
     /// What changed since the version that the other host has, oldest first.
     Changes(Vec<Arc<RulesChange>>),
 }
 
-impl RulesNews {
+impl RulesUpdate {
     /// Routes and organisations that it names.
     pub(crate) fn entries(&self) -> usize {
         match self {
@@ -27,13 +27,13 @@
 
 /// The rules in force; their version only rises.
 #[derive(Default)]
-pub(crate) struct RulesInForce {
+pub(crate) struct ActiveRules {
     current: ArcSwapOption<Rules>,
     /// Locked while rules come into force, so that none is missing in it.
     history: Mutex<RulesHistory>,
 }
 
-impl RulesInForce {
+impl ActiveRules {
     /// The rules in force, if any are known.
     pub(crate) fn current(&self) -> Option<Arc<Rules>> {
         self.current.load_full()
@@ -46,7 +46,7 @@
     }
 
     /// Puts a document into force if it is newer. Returns whether it is.
-    pub(crate) fn take(&self, mut document: RulesDocument) -> bool {
+    pub(crate) fn replace(&self, mut document: RulesDocument) -> bool {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let known = self.current();
         if known
@@ -67,10 +67,10 @@
 
     /// Puts into force what another host passed on, if it is newer. Returns
     /// whether it is; changes of another version than the one in force are not.
-    pub(crate) fn take_news(&self, news: RulesNews) -> bool {
+    pub(crate) fn apply_update(&self, news: RulesUpdate) -> bool {
         let changes = match news {
-            RulesNews::Entire(document) => return self.take(Arc::unwrap_or_clone(document)),
-            RulesNews::Changes(changes) => changes,
+            RulesUpdate::Entire(document) => return self.replace(Arc::unwrap_or_clone(document)),
+            RulesUpdate::Changes(changes) => changes,
         };
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(known) = self.current() else {
@@ -95,10 +95,10 @@
 
     /// What a host is missing that has a version, if anything: the changes
     /// since, or the document where these are not known.
-    pub(crate) fn news_since(&self, version: RulesVersion) -> Option<RulesNews> {
+    pub(crate) fn update_since(&self, version: RulesVersion) -> Option<RulesUpdate> {
         let current = self.current().filter(|rules| rules.version() > version)?;
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        let changes = history.since(version).map(RulesNews::Changes);
-        Some(changes.unwrap_or_else(|| RulesNews::Entire(current.document().clone())))
+        let changes = history.since(version).map(RulesUpdate::Changes);
+        Some(changes.unwrap_or_else(|| RulesUpdate::Entire(current.document().clone())))
     }
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -17,10 +17,10 @@
 /// of the body, so that what came can't be taken for the whole.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer breaks off")]
-pub(crate) struct BrokenOff;
+pub(crate) struct AnswerAborted;
 
 /// Events of a stream on their way to the caller.
-pub(crate) type Events = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>> + Send>>;
+pub(crate) type Events = Pin<Box<dyn Stream<Item = Result<Bytes, AnswerAborted>> + Send>>;
 
 /// What is handed to a connection at once: it keeps that much for a caller that does not
 /// read, and the rest stays within the room for answers.
@@ -59,12 +59,12 @@
 
 impl Body for CallerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
             CallerBody::Whole(body) => {
                 let piece = body.next_piece();
--- a/crates/gateway/src/arrival.rs
+++ b/crates/gateway/src/arrival.rs
@@ -27,11 +27,11 @@
 
 /// How long the one that waits bears silence.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
+pub(crate) struct IdleLimits {
     /// Until the first byte.
-    pub(crate) first: Duration,
+    pub(crate) first_byte: Duration,
     /// Between later ones.
-    pub(crate) stall: Duration,
+    pub(crate) between_bytes: Duration,
 }
 
 /// Waits for an answer while it arrives; `bytes` are those that have. `None`
@@ -39,11 +39,11 @@
 pub(crate) async fn while_arriving<T>(
     answer: impl Future<Output = T>,
     bytes: impl Fn() -> u64,
-    patience: Patience,
+    patience: IdleLimits,
 ) -> Option<T> {
     let mut answer = pin!(answer);
     let mut seen = bytes();
-    let mut left = patience.first;
+    let mut left = patience.first_byte;
     loop {
         tokio::select! {
             answer = &mut answer => return Some(answer),
@@ -54,6 +54,6 @@
             return None;
         }
         seen = arrived;
-        left = patience.stall;
+        left = patience.between_bytes;
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,7 +14,7 @@
 use crate::answer::{PIECE_BYTES, WholeBody};
 use crate::call::Call;
 use crate::edge::{AnswerHead, SendHead};
-use crate::fleet::Choice;
+use crate::fleet::SelectedEndpoint;
 use crate::progress::Progress;
 use crate::shared::{InFlightGuard, Shared};
 use crate::upstream::{Connection, SentBody, connect};
@@ -70,7 +70,7 @@
 pub(crate) async fn attempt(
     shared: &Arc<Shared>,
     progress: &mut Progress,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Result<AttemptResponse, Failure> {
     let call = &*progress.call().clone();
@@ -82,7 +82,7 @@
         Ok(answered) => answered,
         Err(failure) => {
             if failure.end.outcome() == Outcome::NotRun {
-                on_endpoint.turned_away();
+                on_endpoint.mark_rejected();
             }
             return Err(failure);
         }
@@ -91,7 +91,7 @@
     if is_stream {
         let now_ms = shared.clock.now_ms();
         let mut fleet = shared.fleet();
-        fleet.prefixes.note(&call.shared_parts, short, now_ms);
+        fleet.prefixes.record(&call.shared_parts, short, now_ms);
         drop(fleet);
         return Ok(AttemptResponse::Stream(Box::new(OpenStream {
             head,
@@ -105,9 +105,11 @@
     }
     progress.answer_began(began_at.elapsed());
     let whole = read_whole(shared, call, head, body).await?;
-    shared.ran_well(call.fingerprint);
+    shared.record_completed_run(call.fingerprint);
     if !answer.closes {
-        shared.upstream.keep(short, connection, answer.keep_alive_s);
+        shared
+            .upstream
+            .check_in(short, connection, answer.keep_alive_s);
     }
     if whole.head.status.is_server_error() {
         return Err(failed(call, whole));
@@ -124,7 +126,7 @@
 async fn answered(
     shared: &Arc<Shared>,
     progress: &mut Progress,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Result<(Connection, http::response::Parts, Incoming, AnswerHead), Failure> {
     let (connection, response) = send(shared, progress, choice, resume_after).await?;
@@ -134,7 +136,7 @@
     // holds also where the request fails. Read on some ways only, it would be passed
     // over on the others.
     let id = progress.call().head.id.as_ref();
-    shared.endpoint_answered(&choice.member, &answer, id);
+    shared.record_endpoint_answer(&choice.member, &answer, id);
     progress.head_came(&answer);
     match not_an_answer(progress.call(), &head, &answer) {
         Some(end) => Err(Failure::of(end)),
@@ -178,7 +180,7 @@
 async fn send(
     shared: &Arc<Shared>,
     progress: &Progress,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Result<(Connection, Response<Incoming>), Failure> {
     let call = &**progress.call();
@@ -186,7 +188,7 @@
     let short = choice.member.hash.short();
     let endpoint = &choice.member.endpoint;
     loop {
-        let kept = shared.upstream.take(short, may_repeat);
+        let kept = shared.upstream.checkout(short, may_repeat);
         let mut connection = match kept {
             Some(connection) => connection,
             None => {
@@ -201,11 +203,11 @@
         }
         let request = request_for(shared, call, choice, resume_after);
         let now_ms = shared.clock.now_ms();
-        shared.fleet().health(short).sent(now_ms);
+        shared.fleet().health(short).record_sent(now_ms);
         match answer_of(shared, progress, short, &mut connection, request).await {
             Ok(response) => {
                 let now_ms = shared.clock.now_ms();
-                shared.fleet().health(short).heard(now_ms);
+                shared.fleet().health(short).record_received(now_ms);
                 return Ok((connection, response));
             }
             Err(AttemptOutcome::NotSent) if connection.is_kept => {}
@@ -217,7 +219,7 @@
 /// Whether an endpoint that was chosen may still be sent the request: opening a
 /// connection takes up to 400 ms, in which its zone may have been evacuated, or
 /// it may have turned cold or begun to leave.
-fn may_still_send(shared: &Shared, choice: &Choice) -> bool {
+fn may_still_send(shared: &Shared, choice: &SelectedEndpoint) -> bool {
     let now_ms = shared.clock.now_ms();
     shared.fleet().may_still_send(choice, now_ms)
 }
@@ -225,7 +227,7 @@
 fn request_for(
     shared: &Shared,
     call: &Call,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Request<SentBody> {
     let endpoint = &choice.member.endpoint;
@@ -264,7 +266,7 @@
             .min(Instant::now() + HEALTH_RECHECK_INTERVAL);
         let answered = tokio::select! {
             answered = tokio::time::timeout_at(look_at, &mut answer) => answered,
-            () = shared.becomes_poison(call.fingerprint) => return Err(AttemptOutcome::Recalled),
+            () = shared.wait_until_poison(call.fingerprint) => return Err(AttemptOutcome::Recalled),
         };
         match answered {
             Ok(Ok(response)) => return Ok(response),
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -135,7 +135,7 @@
         ));
     }
     let draw = rand::random();
-    let pool = pool_of(shared, &route, draw)
+    let pool = pool_for(shared, &route, draw)
         .ok_or_else(|| Refusal::new(Reason::NoEndpoint, "the route has no pool"))?;
     let most_ms = head
         .deadline_ms
@@ -169,11 +169,11 @@
 
 /// The pool of a draw; another one of the route's if that one has no endpoint that may be
 /// sent requests.
-fn pool_of(shared: &Shared, route: &Route, draw: u64) -> Option<PoolId> {
-    let drawn = route.pool_of(draw)?;
+fn pool_for(shared: &Shared, route: &Route, draw: u64) -> Option<PoolId> {
+    let drawn = route.pool_for(draw)?;
     let fleet = shared.fleet();
     let now_ms = shared.clock.now_ms();
-    let is_live = |pool: &PoolId| fleet.takes_requests(pool, now_ms);
+    let is_live = |pool: &PoolId| fleet.accepts_requests(pool, now_ms);
     if is_live(drawn) {
         return Some(drawn.clone());
     }
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -19,11 +19,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-use crate::answer::{BrokenOff, CallerBody};
+use crate::answer::{AnswerAborted, CallerBody};
 
 /// Whose turn it is on a connection.
 #[derive(Debug, Default)]
-pub(crate) struct Turn {
+pub(crate) struct ConnectionState {
     /// Heads that have arrived.
     heads: AtomicU64,
     /// A request was read and its answer has not been sent whole.
@@ -32,25 +32,25 @@
     was_late: AtomicBool,
 }
 
-impl Turn {
+impl ConnectionState {
     /// Whether the connection ended over a head that took too long.
     pub(crate) fn was_late(&self) -> bool {
         self.was_late.load(Ordering::Relaxed)
     }
 
     /// A head has arrived. It is the host's turn until the guard is dropped.
-    pub(crate) fn serve(self: &Arc<Self>) -> Serving {
+    pub(crate) fn begin_serving(self: &Arc<Self>) -> ServingGuard {
         self.heads.fetch_add(1, Ordering::Relaxed);
         self.is_serving.store(true, Ordering::Relaxed);
-        Serving(self.clone())
+        ServingGuard(self.clone())
     }
 }
 
 /// It is the host's turn.
 #[derive(Debug)]
-pub(crate) struct Serving(Arc<Turn>);
+pub(crate) struct ServingGuard(Arc<ConnectionState>);
 
-impl Drop for Serving {
+impl Drop for ServingGuard {
     fn drop(&mut self) {
         self.0.is_serving.store(false, Ordering::Relaxed);
     }
@@ -59,17 +59,17 @@
 /// A body during which it is the host's turn.
 pub(crate) struct ServedBody {
     pub(crate) body: CallerBody,
-    pub(crate) _serving: Serving,
+    pub(crate) _serving: ServingGuard,
 }
 
 impl Body for ServedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerStream {
     stream: TcpStream,
-    turn: Arc<Turn>,
+    turn: Arc<ConnectionState>,
     head_timeout: Duration,
     /// The number of the head that began to arrive, and when.
     begun: Option<(u64, Instant)>,
@@ -101,7 +101,7 @@
 impl CallerStream {
     pub(crate) fn new(
         stream: TcpStream,
-        turn: Arc<Turn>,
+        turn: Arc<ConnectionState>,
         head_timeout: Duration,
         unread_timeout: Duration,
     ) -> Self {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use chalkrock_core::{HostId, ZoneId};
-use chalkrock_routing::{BudgetRules, ColdBound, ExposureBound, FollowTimes, SpreadRules};
+use chalkrock_routing::{BudgetRules, ColdBound, ExposureBound, SpreadRules, SubscriptionTimings};
 
-use crate::pause::HostClock;
+use crate::suspension::HostClock;
 
 /// Within how long after a silence of the store all hosts know what changed,
 /// if the settings name no bound.
@@ -45,7 +45,7 @@
     pub(crate) spread: SpreadRules,
     pub(crate) budget: BudgetRules,
     pub(crate) connections_max: usize,
-    pub(crate) follow: FollowTimes,
+    pub(crate) follow: SubscriptionTimings,
     pub(crate) evacuation_copy_ms: u64,
     pub(crate) cold_bound: Option<ColdBound>,
     pub(crate) entry_delay_ms: u64,
@@ -82,7 +82,7 @@
                 window_ms: 10_000,
             },
             connections_max: 2_000,
-            follow: FollowTimes::within(FOLLOW_BOUND_MS),
+            follow: SubscriptionTimings::for_bound(FOLLOW_BOUND_MS),
             evacuation_copy_ms: 0,
             cold_bound: None,
             entry_delay_ms: ENTRY_DELAY_MS,
@@ -159,7 +159,7 @@
     /// Within how long after a silence of the store a host has to know what
     /// changed meanwhile.
     pub fn follow_bound_ms(mut self, bound_ms: u64) -> Self {
-        self.0.follow = FollowTimes::within(bound_ms);
+        self.0.follow = SubscriptionTimings::for_bound(bound_ms);
         self
     }
 
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -73,12 +73,12 @@
     /// The endpoint says that it leaves.
     pub is_leaving: bool,
     /// Whether it wants nothing from this host for a while.
-    pub backoff: AskedBackoff,
+    pub backoff: RequestedBackoff,
 }
 
 /// What an answer that turns a request away says of the time to come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum AskedBackoff {
+pub enum RequestedBackoff {
     /// Nothing.
     #[default]
     None,
--- a/crates/gateway/src/end_checks.rs
+++ b/crates/gateway/src/end_checks.rs
@@ -24,13 +24,13 @@
 /// What a check found, and when.
 #[derive(Clone, Copy, Debug)]
 struct Found {
-    has_ended: bool,
+    has_terminated: bool,
     at: Instant,
 }
 
 impl Found {
     fn is_over(&self) -> bool {
-        !self.has_ended || self.at.elapsed() >= ENDED_FOR
+        !self.has_terminated || self.at.elapsed() >= ENDED_FOR
     }
 }
 
@@ -38,16 +38,16 @@
 
 /// Checks that run, and endpoints that were found to have ended.
 #[derive(Debug, Default)]
-pub(crate) struct EndChecks {
+pub(crate) struct TerminationChecks {
     by_start: Mutex<HashMap<u32, Check>>,
 }
 
-impl EndChecks {
+impl TerminationChecks {
     /// Whether an endpoint has ended, told by a hash of its start. All that ask at
     /// once open one connection.
-    pub(crate) async fn has_ended(&self, start: u32, address: SocketAddr) -> bool {
+    pub(crate) async fn has_terminated(&self, start: u32, address: SocketAddr) -> bool {
         let check = self.check_of(start);
-        check.get_or_init(|| ask(address)).await.has_ended
+        check.get_or_init(|| ask(address)).await.has_terminated
     }
 
     fn check_of(&self, start: u32) -> Check {
@@ -67,7 +67,7 @@
     let connecting = TcpStream::connect(address);
     let connected = tokio::time::timeout(ACCEPTS_WITHIN, connecting).await;
     Found {
-        has_ended: !matches!(connected, Ok(Ok(_))),
+        has_terminated: !matches!(connected, Ok(Ok(_))),
         at: Instant::now(),
     }
 }
--- a/crates/gateway/src/endpoint_words.rs
+++ b/crates/gateway/src/endpoint_reports.rs
@@ -6,18 +6,18 @@
 //! seconds later or, while the store is away, not at all.
 
 use chalkrock_core::RequestId;
-use chalkrock_routing::{BackoffChange, Member};
+use chalkrock_routing::{BackoffChange, PoolMember};
 
-use crate::edge::{AnswerHead, AskedBackoff};
+use crate::edge::{AnswerHead, RequestedBackoff};
 use crate::event_log::Event;
 use crate::shared::Shared;
 
 impl Shared {
     /// An endpoint answered a request. Takes what it says there of itself; the answer of
     /// another endpoint at its address says nothing of it.
-    pub(crate) fn endpoint_answered(
+    pub(crate) fn record_endpoint_answer(
         &self,
-        member: &Member,
+        member: &PoolMember,
         answer: &AnswerHead,
         id: Option<&RequestId>,
     ) {
@@ -28,19 +28,19 @@
             self.endpoint_leaves(member, id);
         }
         match &answer.backoff {
-            AskedBackoff::ForMs(asked_ms) => self.endpoint_backs_off(member, *asked_ms, id),
-            AskedBackoff::Unreadable(found) => self.backoff_is_unreadable(member, found, id),
-            AskedBackoff::None if !answer.says_not_run => {
+            RequestedBackoff::ForMs(asked_ms) => self.endpoint_backs_off(member, *asked_ms, id),
+            RequestedBackoff::Unreadable(found) => self.backoff_is_unreadable(member, found, id),
+            RequestedBackoff::None if !answer.says_not_run => {
                 let now_ms = self.clock.now_ms();
                 let start = member.hash.short();
-                self.fleet().backoffs.answered(start, now_ms);
+                self.fleet().backoffs.record_answered(start, now_ms);
             }
-            AskedBackoff::None => {}
+            RequestedBackoff::None => {}
         }
     }
 
     /// The other hosts are told with the next round.
-    fn endpoint_leaves(&self, member: &Member, id: Option<&RequestId>) {
+    fn endpoint_leaves(&self, member: &PoolMember, id: Option<&RequestId>) {
         let start = member.hash.short();
         self.upstream.close(start);
         if self.mark_leaving(&[start], "answer", id) {
@@ -64,11 +64,13 @@
         !marked.is_empty()
     }
 
-    fn endpoint_backs_off(&self, member: &Member, asked_ms: u64, id: Option<&RequestId>) {
+    fn endpoint_backs_off(&self, member: &PoolMember, asked_ms: u64, id: Option<&RequestId>) {
         let now_ms = self.clock.now_ms();
         let draw = rand::random();
         let mut fleet = self.fleet();
-        let change = fleet.backoffs.asked(member, asked_ms, draw, now_ms);
+        let change = fleet
+            .backoffs
+            .record_request(member, asked_ms, draw, now_ms);
         drop(fleet);
         let BackoffChange::Begun { for_ms } = change else {
             return;
@@ -83,7 +85,7 @@
         });
     }
 
-    fn backoff_is_unreadable(&self, member: &Member, found: &str, id: Option<&RequestId>) {
+    fn backoff_is_unreadable(&self, member: &PoolMember, found: &str, id: Option<&RequestId>) {
         self.metrics.count("unreadable_backoffs_total", "", 1);
         self.event_log.emit(&Event::UnreadableBackoff {
             endpoint: &member.endpoint.name,
@@ -93,7 +95,7 @@
     }
 
     /// Ends what was believed of endpoints by their own words for long enough.
-    pub(crate) fn expire_endpoint_words(&self) {
+    pub(crate) fn expire_endpoint_reports(&self) {
         let now_ms = self.clock.now_ms();
         let mut fleet = self.fleet();
         let ended = fleet.backoffs.expire(now_ms);
--- a/crates/gateway/src/event_log.rs
+++ b/crates/gateway/src/event_log.rs
@@ -16,7 +16,7 @@
     RequestId, ZoneId,
 };
 use chalkrock_routing::{
-    AttemptOutcome, Basis, Judgement, RequestFingerprint, RolloutReason, RolloutStage,
+    AttemptOutcome, Basis, BuildAssessment, RequestFingerprint, RolloutReason, RolloutStage,
     RulesVersion, StoreVersion,
 };
 use serde::{Serialize, Serializer};
@@ -164,7 +164,7 @@
         age_ms: u64,
         version: StoreVersion,
         #[serde(skip_serializing_if = "Option::is_none")]
-        evidence: Option<&'a Judgement>,
+        evidence: Option<&'a BuildAssessment>,
         from: &'a str,
     },
     /// Endpoints said that they are cold, for so long at most: fewer requests
--- a/crates/gateway/src/fleet/builds.rs
+++ b/crates/gateway/src/fleet/builds.rs
@@ -4,7 +4,7 @@
 
 use chalkrock_core::rendezvous::MemberHash;
 use chalkrock_core::{BuildVersion, PoolId};
-use chalkrock_routing::{BuildFilter, BuildUse, Member, PoolBuilds};
+use chalkrock_routing::{BuildFilter, BuildUse, PoolBuilds, PoolMember};
 
 use crate::fleet::Fleet;
 use crate::peers::KnownBuilds;
@@ -18,7 +18,7 @@
 }
 
 impl OpenBuilds<'_> {
-    pub(super) fn admit(&self, member: &Member) -> bool {
+    pub(super) fn admit(&self, member: &PoolMember) -> bool {
         let canaries = self.canaries.as_ref();
         let is_tried = canaries.is_none_or(|tried| tried.contains(&member.hash));
         is_tried && self.filter.admits(&member.endpoint.build)
@@ -31,7 +31,7 @@
         let filter = self.rollouts.filter(pool, by, now_ms);
         let canaries = (by == BuildUse::Canary).then(|| {
             let members = self.endpoints.live(pool);
-            let is_new = |member: &&Member| filter.admits(&member.endpoint.build);
+            let is_new = |member: &&PoolMember| filter.admits(&member.endpoint.build);
             let new = members.iter().filter(is_new).map(|member| member.hash);
             let old = members.iter().filter(|member| !is_new(member)).count();
             self.rollouts.canaries(pool, new, old)
@@ -40,13 +40,13 @@
     }
 
     /// Of a pool's members those of the builds that most requests try first.
-    pub(super) fn of_usual_builds<'a>(
+    pub(super) fn with_stable_builds<'a>(
         &'a self,
         pool: &PoolId,
-        members: &'a [Member],
+        members: &'a [PoolMember],
         now_ms: u64,
-    ) -> impl Iterator<Item = &'a Member> {
-        let usual = self.rollouts.usual_use(pool);
+    ) -> impl Iterator<Item = &'a PoolMember> {
+        let usual = self.rollouts.stable_use(pool);
         let builds = self.rollouts.filter(pool, usual, now_ms);
         let members = members.iter();
         members.filter(move |member| builds.admits(&member.endpoint.build))
@@ -66,9 +66,9 @@
                 builds.old_slots += slots;
             }
         }
-        let of_pool = self.endpoints.known();
+        let of_pool = self.endpoints.known_members();
         for member in of_pool.filter(|member| member.endpoint.pool == *pool) {
-            let in_progress = self.load.of(member.hash.short());
+            let in_progress = self.load.in_progress(member.hash.short());
             if member.endpoint.build == order.build {
                 builds.new_in_progress += in_progress;
             } else {
@@ -87,7 +87,7 @@
 
     /// The software that endpoints run, to pass on.
     pub(crate) fn known_builds(&self) -> KnownBuilds {
-        if let Some(usual) = self.rollouts.usual_builds() {
+        if let Some(usual) = self.rollouts.stable_builds() {
             // Nothing has to be looked up for each of thousands of endpoints.
             return KnownBuilds {
                 usual,
@@ -123,7 +123,7 @@
             of_pool.insert(&endpoint.build);
         }
         for (pool, builds) in by_pool {
-            self.rollouts.builds_listed(pool, builds, now_ms);
+            self.rollouts.record_listed_builds(pool, builds, now_ms);
         }
     }
 }
--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -3,10 +3,10 @@
 
 use chalkrock_core::{Endpoint, PoolId, ZoneId};
 use chalkrock_routing::{
-    EvacuationChange, EvacuationRow, Evacuations, Member, PoolRules, StoreVersion,
+    EvacuationChange, EvacuationRow, Evacuations, PoolMember, PoolRules, StoreVersion,
 };
 
-use crate::fleet::{Choice, Fleet};
+use crate::fleet::{Fleet, SelectedEndpoint};
 use crate::source::ListedEndpoint;
 
 /// Time after which a request that was chosen for a cold endpoint is no longer
@@ -22,7 +22,7 @@
 
     /// Takes the zones that are evacuated, if they are known as of a later
     /// version.
-    pub(crate) fn take_evacuations(
+    pub(crate) fn merge_evacuations(
         &mut self,
         evacuations: &Evacuations,
         now_ms: u64,
@@ -33,24 +33,24 @@
     }
 
     /// Takes the zones that are evacuated as they were read whole.
-    pub(crate) fn read_evacuations(
+    pub(crate) fn replace_evacuations(
         &mut self,
         evacuations: Evacuations,
         now_ms: u64,
     ) -> EvacuationChange {
-        let change = self.evacuations.read(evacuations);
+        let change = self.evacuations.replace(evacuations);
         self.evacuations_changed(&change, now_ms);
         change
     }
 
     /// Takes the evacuations of a part of the store's history.
-    pub(crate) fn follow_evacuations(
+    pub(crate) fn apply_evacuation_changes(
         &mut self,
         rows: &[EvacuationRow],
         until: StoreVersion,
         now_ms: u64,
     ) -> EvacuationChange {
-        let change = self.evacuations.follow(rows, until);
+        let change = self.evacuations.apply_changes(rows, until);
         self.evacuations_changed(&change, now_ms);
         change
     }
@@ -67,19 +67,20 @@
         }
         for zone in &change.ended {
             self.copied_until_ms.remove(zone);
-            self.doubt_zone(zone, now_ms);
+            self.presume_zone_cold(zone, now_ms);
         }
     }
 
     /// The endpoints of a zone that was taken back may have turned cold shortly
     /// before, and their entries tell so late.
-    fn doubt_zone(&mut self, zone: &ZoneId, now_ms: u64) {
+    fn presume_zone_cold(&mut self, zone: &ZoneId, now_ms: u64) {
         for member in self.endpoints.serving_in(zone) {
             let Some(pool) = self.pools.get(&member.endpoint.pool) else {
                 continue;
             };
             let longest_ms = pool.cold_start_ms.min(self.entry_delay_ms);
-            self.cold.doubt(member.hash.short(), longest_ms, now_ms);
+            self.cold
+                .presume_cold(member.hash.short(), longest_ms, now_ms);
         }
     }
 
@@ -95,10 +96,10 @@
 
     /// Whether the endpoint of a choice may still be sent the request, which is
     /// then sent.
-    pub(crate) fn may_still_send(&mut self, choice: &Choice, now_ms: u64) -> bool {
+    pub(crate) fn may_still_send(&mut self, choice: &SelectedEndpoint, now_ms: u64) -> bool {
         let member = &choice.member;
         let backs_off = self.backoffs.is_active(member.hash.short(), now_ms);
-        if backs_off || !self.endpoints.takes_work(&member.endpoint) {
+        if backs_off || !self.endpoints.accepts_work(&member.endpoint) {
             return false;
         }
         let may_send = if choice.is_cold {
@@ -107,13 +108,13 @@
             self.may_send_if_cold(member, now_ms)
         };
         if may_send {
-            self.cold.sent(member.hash.short(), now_ms);
+            self.cold.record_sent(member.hash.short(), now_ms);
         }
         may_send
     }
 
     /// Whether a pool has an endpoint that may be sent requests now.
-    pub(crate) fn takes_requests(&self, pool: &PoolId, now_ms: u64) -> bool {
+    pub(crate) fn accepts_requests(&self, pool: &PoolId, now_ms: u64) -> bool {
         let live = self.endpoints.live(pool);
         let mut starts = live.iter().map(|member| member.hash.short());
         starts.any(|start| !self.backoffs.is_active(start, now_ms))
@@ -121,33 +122,33 @@
 
     /// Time until a pool has an endpoint again that may be sent requests, in
     /// milliseconds; `None` unless all that it has asked to be sent nothing.
-    pub(crate) fn backs_off_for_ms(&self, pool: &PoolId, now_ms: u64) -> Option<u64> {
+    pub(crate) fn backoff_remaining_ms(&self, pool: &PoolId, now_ms: u64) -> Option<u64> {
         let live = self.endpoints.live(pool);
-        let usable = self.of_usual_builds(pool, &live, now_ms);
-        let left_ms = usable.map(|member| self.backoffs.left_ms(member.hash.short(), now_ms));
+        let usable = self.with_stable_builds(pool, &live, now_ms);
+        let left_ms = usable.map(|member| self.backoffs.remaining_ms(member.hash.short(), now_ms));
         left_ms.min().filter(|left_ms| *left_ms > 0)
     }
 
     /// Whether an endpoint is not cold, or this host's share of what it bears
     /// allows a request now.
-    pub(super) fn may_send_if_cold(&self, member: &Member, now_ms: u64) -> bool {
+    pub(super) fn may_send_if_cold(&self, member: &PoolMember, now_ms: u64) -> bool {
         if !self.is_bounded(member, now_ms) {
             return true;
         }
-        let is_near = member.endpoint.zone == self.zone;
-        let bears_per_s = self.cold_per_s(&member.endpoint.pool);
+        let is_same_zone = member.endpoint.zone == self.zone;
+        let sustained_per_s = self.cold_per_s(&member.endpoint.pool);
         self.cold
-            .may_send(member.hash.short(), bears_per_s, is_near, now_ms)
+            .may_send(member.hash.short(), sustained_per_s, is_same_zone, now_ms)
     }
 
     /// Whether an endpoint is cold and bears only so many requests meanwhile.
-    pub(super) fn is_bounded(&self, member: &Member, now_ms: u64) -> bool {
+    pub(super) fn is_bounded(&self, member: &PoolMember, now_ms: u64) -> bool {
         if self.cold.is_empty() {
             return false;
         }
-        let bears_per_s = self.cold_per_s(&member.endpoint.pool);
+        let sustained_per_s = self.cold_per_s(&member.endpoint.pool);
         self.cold
-            .is_bounded(member.hash.short(), bears_per_s, now_ms)
+            .is_bounded(member.hash.short(), sustained_per_s, now_ms)
     }
 
     /// Requests that a cold endpoint of a pool bears in a second, 0 for any
@@ -157,7 +158,7 @@
     }
 
     /// The endpoints of evacuated zones from which prefixes may still be copied.
-    pub(super) fn copied_while_evacuated(&self, pool: &PoolId, now_ms: u64) -> Vec<Member> {
+    pub(super) fn copied_while_evacuated(&self, pool: &PoolId, now_ms: u64) -> Vec<PoolMember> {
         if self
             .copied_until_ms
             .values()
@@ -174,9 +175,9 @@
     }
 
     /// Takes what an endpoint's entry says of how long it is cold.
-    pub(super) fn told_cold(&mut self, listed: &ListedEndpoint, now_ms: u64) {
+    pub(super) fn record_cold_report(&mut self, listed: &ListedEndpoint, now_ms: u64) {
         let short = listed.endpoint.start_hash().short();
-        if self.cold.told(short, listed.cold_left_ms, now_ms) {
+        if self.cold.record_report(short, listed.cold_left_ms, now_ms) {
             self.newly_cold.push(listed.endpoint.clone());
         }
     }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -11,8 +11,8 @@
 use chalkrock_core::{Endpoint, PoolId, ZoneId};
 use chalkrock_routing::{
     Backoffs, Basis, BudgetRules, BuildUse, Candidate, ColdEndpoints, EndpointHealth,
-    EndpointTable, Evacuations, Evidence, FleetLoad, HealthSignal, LongestStay, Member,
-    PlacementRequest, PoisonEvidence, PoolOccupancy, PoolRules, Repeatable, Rollouts,
+    EndpointTable, Evacuations, Evidence, FleetLoad, HealthSignal, MaxServiceTime,
+    PlacementRequest, PoisonEvidence, PoolMember, PoolOccupancy, PoolRules, Repeatable, Rollouts,
     ServiceTimeEwma, Shares, SpreadRules, StoreVersion, WindowBudget, choose,
 };
 
@@ -29,14 +29,14 @@
 
 /// Requests that a cold endpoint works on at once, if it bears so many a second
 /// (0 for any number) and each stays so long.
-fn places_while_cold(bears_per_s: f64, service_ms: f64) -> Option<u32> {
+fn slots_while_cold(sustained_per_s: f64, service_ms: f64) -> Option<u32> {
     const SECOND_MS: f64 = 1_000.0;
-    (bears_per_s > 0.0).then(|| (bears_per_s * service_ms / SECOND_MS).ceil() as u32)
+    (sustained_per_s > 0.0).then(|| (sustained_per_s * service_ms / SECOND_MS).ceil() as u32)
 }
 
 /// What a request wants of placement.
 #[derive(Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct EndpointQuery<'a> {
     pub(crate) pool: &'a PoolId,
     /// The parts of its prompt that it shares with others, in order.
     pub(crate) shared_parts: &'a [u32],
@@ -52,8 +52,8 @@
 
 /// An endpoint that was chosen.
 #[derive(Clone, Debug)]
-pub(crate) struct Choice {
-    pub(crate) member: Member,
+pub(crate) struct SelectedEndpoint {
+    pub(crate) member: PoolMember,
     /// Requests on it over the fleet, without this one.
     pub(crate) load: u32,
     /// Who else may hold the prefix in memory.
@@ -104,7 +104,7 @@
     budgets: HashMap<PoolId, WindowBudget>,
     service_times: HashMap<PoolId, ServiceTimeEwma>,
     /// By pool and route.
-    longest_stays: HashMap<PoolId, HashMap<Arc<str>, LongestStay>>,
+    longest_stays: HashMap<PoolId, HashMap<Arc<str>, MaxServiceTime>>,
     /// What organisations have in progress on this host.
     pub(crate) shares: Shares,
     pub(crate) prefixes: Prefixes,
@@ -156,17 +156,26 @@
     }
 
     /// Chooses an endpoint of a pool.
-    pub(crate) fn place(&self, wanted: &Wanted<'_>, now_ms: u64) -> Option<Choice> {
+    pub(crate) fn place(
+        &self,
+        wanted: &EndpointQuery<'_>,
+        now_ms: u64,
+    ) -> Option<SelectedEndpoint> {
         let mut uses = wanted.uses.iter();
         uses.find_map(|by| self.place_by(wanted, *by, now_ms))
     }
 
-    fn place_by(&self, wanted: &Wanted<'_>, by: BuildUse, now_ms: u64) -> Option<Choice> {
+    fn place_by(
+        &self,
+        wanted: &EndpointQuery<'_>,
+        by: BuildUse,
+        now_ms: u64,
+    ) -> Option<SelectedEndpoint> {
         let builds = self.open_builds(wanted.pool, by, now_ms);
         let members = self.endpoints.serving(wanted.pool);
         let deepest = wanted.shared_parts.last().copied();
         let key = deepest.map(|part| KeyHash(u64::from(part)));
-        let untried: Vec<&Member> = members
+        let untried: Vec<&PoolMember> = members
             .iter()
             .filter(|member| !wanted.tried.contains(&member.hash.short()))
             .collect();
@@ -185,7 +194,7 @@
             .collect();
         let request = PlacementRequest {
             key,
-            unseen_arrivals: self.unseen_arrivals(wanted.pool, &members),
+            unreported_arrivals: self.unreported_arrivals(wanted.pool, &members),
             draw: wanted.draw,
         };
         let placement = choose(&candidates, &request, &self.spread)?;
@@ -193,7 +202,7 @@
         let member = untried[placement.index].clone();
         let holder = self.other_holder(wanted, &member, now_ms);
         let is_cold = self.is_bounded(&member, now_ms);
-        Some(Choice {
+        Some(SelectedEndpoint {
             load: candidate.load,
             member,
             holder,
@@ -207,13 +216,14 @@
     /// Requests that other hosts sent to a pool since they reported, in the
     /// mean: by Little's law they send what they have in progress there once
     /// in each mean stay.
-    fn unseen_arrivals(&self, pool: &PoolId, members: &[Member]) -> f64 {
+    fn unreported_arrivals(&self, pool: &PoolId, members: &[PoolMember]) -> f64 {
         let service_ms = self.mean_service_ms(pool);
         if service_ms <= 0.0 {
             return 0.0;
         }
-        let of_others = |member: &Member| self.load.of_others(member.hash.short());
-        let in_progress: u32 = members.iter().map(of_others).sum();
+        let remote_in_progress =
+            |member: &PoolMember| self.load.remote_in_progress(member.hash.short());
+        let in_progress: u32 = members.iter().map(remote_in_progress).sum();
         f64::from(in_progress) * self.load.report_age_ms() / service_ms
     }
 
@@ -226,15 +236,15 @@
     /// it from there. One that is leaving counts, until it goes.
     fn other_holder(
         &self,
-        wanted: &Wanted<'_>,
-        chosen: &Member,
+        wanted: &EndpointQuery<'_>,
+        chosen: &PoolMember,
         now_ms: u64,
     ) -> Option<SocketAddr> {
         let live = self.endpoints.live(wanted.pool);
         let evacuated = self.copied_while_evacuated(wanted.pool, now_ms);
-        let parting = self.endpoints.parting(wanted.pool);
+        let leaving_members = self.endpoints.leaving_members(wanted.pool);
         let address_of = |endpoint: u32| {
-            let mut members = live.iter().chain(parting.iter()).chain(&evacuated);
+            let mut members = live.iter().chain(leaving_members.iter()).chain(&evacuated);
             let member = members.find(|member| member.hash.short() == endpoint)?;
             let is_sound = !self.is_suspect(endpoint, now_ms);
             is_sound.then_some(member.endpoint.address)
@@ -251,10 +261,10 @@
         // Nothing is known, as after a start: the prefix lies where it would
         // have gone without the endpoint that was chosen.
         let deepest = KeyHash(u64::from(*wanted.shared_parts.last()?));
-        let others = live.iter().chain(parting.iter()).chain(&evacuated);
+        let others = live.iter().chain(leaving_members.iter()).chain(&evacuated);
         let others = others.filter(|member| member.hash != chosen.hash);
         let first = others.max_by(|a, b| {
-            let rank = |member: &Member| score(deepest, member.hash, 1.0);
+            let rank = |member: &PoolMember| score(deepest, member.hash, 1.0);
             rank(a).total_cmp(&rank(b))
         })?;
         address_of(first.hash.short())
@@ -263,15 +273,15 @@
     /// An endpoint as a candidate; `holders` are those that hold the prefix.
     fn candidate(
         &self,
-        member: &Member,
-        wanted: &Wanted<'_>,
+        member: &PoolMember,
+        wanted: &EndpointQuery<'_>,
         holders: &[u32],
         now_ms: u64,
     ) -> Candidate {
         let short = member.hash.short();
         let stays_away = |health: &EndpointHealth| match wanted.repeatable {
             Repeatable::Yes => health.is_suspect(now_ms),
-            Repeatable::No => health.is_suspect(now_ms) || health.is_doubtful(now_ms),
+            Repeatable::No => health.is_suspect(now_ms) || health.is_on_probation(now_ms),
         };
         let is_suspect = self.health.get(&short).is_some_and(stays_away);
         let has_just_returned =
@@ -282,9 +292,9 @@
         let backs_off = self.backoffs.is_active(short, now_ms);
         Candidate {
             hash: member.hash,
-            load: self.load.of(short),
+            load: self.load.in_progress(short),
             slots: member.endpoint.slots,
-            is_near: member.endpoint.zone == self.zone,
+            is_same_zone: member.endpoint.zone == self.zone,
             is_suspect: is_suspect || has_just_returned,
             holds_prefix: holders.contains(&short),
             is_closed: backs_off || member.is_evacuated || !self.may_send_if_cold(member, now_ms),
@@ -326,24 +336,25 @@
     /// what is queued for their places would wait in vain.
     pub(crate) fn occupancy(&self, pool: &PoolId, now_ms: u64) -> PoolOccupancy {
         let members = self.endpoints.live(pool);
-        let of_usual_builds = self.of_usual_builds(pool, &members, now_ms);
-        let takes_work = of_usual_builds.filter(|member| {
+        let with_stable_builds = self.with_stable_builds(pool, &members, now_ms);
+        let accepts_work = with_stable_builds.filter(|member| {
             let start = member.hash.short();
             !self.is_suspect(start, now_ms) && !self.backoffs.is_active(start, now_ms)
         });
         let service_ms = self.mean_service_ms(pool);
-        let cold_places = places_while_cold(self.cold_per_s(pool), service_ms);
-        let (places, in_progress) = takes_work.fold((0, 0), |(places, in_progress), member| {
-            let short = member.hash.short();
-            let slots = member.endpoint.slots;
-            let cold_places = cold_places.filter(|_| self.is_bounded(member, now_ms));
-            (
-                places + cold_places.map_or(slots, |cold| slots.min(cold)),
-                self.load.of(short).saturating_add(in_progress),
-            )
-        });
+        let cold_slots = slots_while_cold(self.cold_per_s(pool), service_ms);
+        let (slots, in_progress) =
+            accepts_work.fold((0, 0), |(pool_slots, in_progress), member| {
+                let short = member.hash.short();
+                let slots = member.endpoint.slots;
+                let cold_slots = cold_slots.filter(|_| self.is_bounded(member, now_ms));
+                (
+                    pool_slots + cold_slots.map_or(slots, |cold| slots.min(cold)),
+                    self.load.in_progress(short).saturating_add(in_progress),
+                )
+            });
         PoolOccupancy {
-            places,
+            slots,
             in_progress,
             service_ms,
         }
@@ -351,8 +362,15 @@
 
     /// How long the longest requests of a pool's routes stayed: what this host saw of
     /// late, and what others saw since the pool's rollout was ordered.
-    pub(crate) fn longest_stays_ms(&self, pool: &PoolId, now_ms: u64) -> BTreeMap<Arc<str>, u64> {
-        let told = self.rollouts.evidence(pool).map(Evidence::longest_stays_ms);
+    pub(crate) fn max_service_times_ms(
+        &self,
+        pool: &PoolId,
+        now_ms: u64,
+    ) -> BTreeMap<Arc<str>, u64> {
+        let told = self
+            .rollouts
+            .evidence(pool)
+            .map(Evidence::max_service_times_ms);
         let mut stays_ms = told.cloned().unwrap_or_default();
         for (route, longest) in self.longest_stays.get(pool).into_iter().flatten() {
             let longest_ms = stays_ms.entry(route.clone()).or_default();
@@ -366,14 +384,14 @@
         &mut self,
         pool: &PoolId,
         route: &Arc<str>,
-        stayed_ms: u64,
+        service_ms: u64,
         now_ms: u64,
     ) {
         let stay = self.service_times.entry(pool.clone()).or_default();
-        stay.record(stayed_ms);
+        stay.record(service_ms);
         let of_pool = self.longest_stays.entry(pool.clone()).or_default();
         let longest = of_pool.entry(route.clone()).or_default();
-        longest.record(stayed_ms, now_ms);
+        longest.record(service_ms, now_ms);
     }
 
     /// Takes the whole list of endpoints, as of a version.
@@ -384,12 +402,12 @@
         now_ms: u64,
     ) {
         for listed in &list {
-            self.told_cold(listed, now_ms);
+            self.record_cold_report(listed, now_ms);
         }
         if self.has_list && version.era() > self.endpoints_version.era() {
             // The store came back from a copy, which lacks endpoints that entered the
             // list of late: they write themselves there again.
-            self.store_is_back(now_ms, self.entry_delay_ms);
+            self.store_recovered(now_ms, self.entry_delay_ms);
         }
         // A list that was read slowly may be older than what other hosts passed on.
         let is_older = version < self.endpoints_version;
@@ -412,7 +430,7 @@
 
     /// Takes changes of the list, oldest first. One that is known already
     /// changes nothing. Returns whether any was news.
-    pub(crate) fn take_changes(&mut self, rows: Vec<EndpointRow>, now_ms: u64) -> bool {
+    pub(crate) fn apply_changes(&mut self, rows: Vec<EndpointRow>, now_ms: u64) -> bool {
         let mut is_news = false;
         for row in rows {
             if row.version <= self.endpoints_version {
@@ -422,10 +440,11 @@
             self.endpoints_version = row.version;
             match &row.change {
                 EndpointChange::Listed(listed) => {
-                    self.told_cold(listed, now_ms);
+                    self.record_cold_report(listed, now_ms);
                     let endpoint = &listed.endpoint;
                     let builds = [&endpoint.build];
-                    self.rollouts.builds_listed(&endpoint.pool, builds, now_ms);
+                    self.rollouts
+                        .record_listed_builds(&endpoint.pool, builds, now_ms);
                     self.endpoints.upsert(endpoint.clone());
                 }
                 EndpointChange::Gone(name) => self.endpoints.remove(name, now_ms),
@@ -453,7 +472,7 @@
     pub(crate) fn listed(&self, now_ms: u64) -> Vec<ListedEndpoint> {
         let listed = self.endpoints.listed().map(|member| ListedEndpoint {
             endpoint: (*member.endpoint).clone(),
-            cold_left_ms: self.cold.left_ms(member.hash.short(), now_ms),
+            cold_left_ms: self.cold.remaining_ms(member.hash.short(), now_ms),
         });
         listed.collect()
     }
@@ -477,13 +496,13 @@
         let mut row = row.clone();
         if let EndpointChange::Listed(listed) = &mut row.change {
             let short = listed.endpoint.start_hash().short();
-            listed.cold_left_ms = self.cold.left_ms(short, now_ms);
+            listed.cold_left_ms = self.cold.remaining_ms(short, now_ms);
         }
         row
     }
 
     /// The store is back: entries that lapsed meanwhile are kept for a while.
-    pub(crate) fn store_is_back(&mut self, now_ms: u64, grace_ms: u64) {
+    pub(crate) fn store_recovered(&mut self, now_ms: u64, grace_ms: u64) {
         self.endpoints.keep_lapsed(true);
         self.lapsed_until_ms = Some(now_ms + grace_ms);
     }
--- a/crates/gateway/src/follow/calls.rs
+++ b/crates/gateway/src/follow/calls.rs
@@ -3,15 +3,15 @@
 
 use std::time::Duration;
 
-use chalkrock_routing::{FollowTimes, StoreVersion};
+use chalkrock_routing::{StoreVersion, SubscriptionTimings};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use tokio::time::Instant;
 
-use crate::arrival::{Arrival, Patience, while_arriving};
+use crate::arrival::{Arrival, IdleLimits, while_arriving};
 use crate::clock::ms;
 use crate::shared::Shared;
-use crate::source::{News, Source, SourceError, Topic};
+use crate::source::{Source, SourceError, SourceUpdate, Topic};
 
 /// The wait of a call that is to be answered at once.
 const POLL_WAIT_MS: u64 = 1;
@@ -25,12 +25,12 @@
     topic: Topic,
     since: StoreVersion,
     wait_ms: u64,
-) -> Result<News, SourceError> {
+) -> Result<SourceUpdate, SourceError> {
     let times = &shared.config.follow;
     let arrival = Arrival::default();
-    let patience = Patience {
-        first: ms(wait_ms) + LATE,
-        stall: ms(times.stall_ms),
+    let patience = IdleLimits {
+        first_byte: ms(wait_ms) + LATE,
+        between_bytes: ms(times.stall_ms),
     };
     let answer = source.changes(topic, since, wait_ms, &arrival);
     let waiting = while_arriving(answer, || arrival.bytes(), patience);
@@ -39,7 +39,7 @@
         let seen = arrival.bytes();
         tokio::select! {
             answer = &mut waiting => return answer.unwrap_or_else(|| Err(no_answer())),
-            () = shared.subscription.stale(times) => {}
+            () = shared.subscription.wait_until_stale(times) => {}
         }
         if arrival.bytes() > seen {
             // A poll would ask for the same once more, beside its answer.
@@ -56,7 +56,7 @@
 
 /// The platform answers, which ends the doubt of the other hosts.
 fn is_answered(shared: &Shared, topic: Topic) {
-    shared.store_answered(topic);
+    shared.record_store_answer(topic);
     shared.publish_now.notify_one();
 }
 
@@ -67,7 +67,7 @@
     topic: Topic,
     since: StoreVersion,
     hedging: &Hedging,
-) -> Result<News, SourceError> {
+) -> Result<SourceUpdate, SourceError> {
     let arrival = Arrival::default();
     let call = || source.changes(topic, since, POLL_WAIT_MS, &arrival);
     hedged(shared, topic, hedging, &arrival, call).await
@@ -86,10 +86,10 @@
 
 impl Hedging {
     /// While the platform was answered last.
-    pub(super) fn first(times: &FollowTimes) -> Self {
+    pub(super) fn first(times: &SubscriptionTimings) -> Self {
         Self {
-            calls: FollowTimes::HEDGES,
-            interval: ms(times.hedge_after_ms),
+            calls: SubscriptionTimings::MAX_HEDGES,
+            interval: ms(times.hedge_delay_ms),
             is_woken: false,
         }
     }
@@ -104,9 +104,9 @@
     hedging: &Hedging,
     arrival: &Arrival,
     call: impl Fn() -> F,
-) -> Result<News, SourceError>
+) -> Result<SourceUpdate, SourceError>
 where
-    F: Future<Output = Result<News, SourceError>>,
+    F: Future<Output = Result<SourceUpdate, SourceError>>,
 {
     let mut calls = FuturesUnordered::new();
     for _ in 0..hedging.calls {
@@ -123,7 +123,7 @@
             let is_woken = hedging.is_woken && !is_arriving;
             tokio::select! {
                 Some(answer) = calls.next() => return answer,
-                () = shared.subscription.answered_after(sent_at), if is_woken => {}
+                () = shared.subscription.wait_answered_after(sent_at), if is_woken => {}
                 () = tokio::time::sleep(patience) => {}
             }
             is_arriving = arrival.bytes() > seen;
--- a/crates/gateway/src/follow/failures.rs
+++ b/crates/gateway/src/follow/failures.rs
@@ -1,7 +1,7 @@
 //! Calls of one topic that failed in a row, and what follows from them: how
 //! long the next one waits, and how it is sent.
 
-use chalkrock_routing::FollowTimes;
+use chalkrock_routing::SubscriptionTimings;
 use rand::RngExt;
 use tokio::time::Instant;
 
@@ -30,11 +30,11 @@
     outage: OutageLog,
     topic: Topic,
     in_row: u32,
-    times: FollowTimes,
+    times: SubscriptionTimings,
 }
 
 impl Failures {
-    pub(super) fn new(topic: Topic, times: FollowTimes) -> Self {
+    pub(super) fn new(topic: Topic, times: SubscriptionTimings) -> Self {
         let name = match topic {
             Topic::Rules => "platform-rules",
             Topic::Endpoints => "platform-endpoints",
@@ -56,8 +56,8 @@
             return Hedging::first(&self.times);
         }
         Hedging {
-            calls: FollowTimes::HEDGES + self.in_row.min(MORE_HEDGES_MAX),
-            interval: ms(self.times.pause_max_ms * self.rarer()),
+            calls: SubscriptionTimings::MAX_HEDGES + self.in_row.min(MORE_HEDGES_MAX),
+            interval: ms(self.times.max_retry_pause_ms * self.rarer()),
             is_woken: true,
         }
     }
@@ -77,13 +77,13 @@
         let are_others_answered = reading.answered_since(began_at);
         let longest_ms = if are_others_answered {
             TURNED_AWAY_PAUSE_MS
-        } else if began_at.elapsed() >= ms(self.times.pause_max_ms) {
+        } else if began_at.elapsed() >= ms(self.times.max_retry_pause_ms) {
             // The calls themselves took as long as a pause.
             PAUSE_FIRST_MS
         } else {
             let doubled = PAUSE_FIRST_MS << self.in_row.min(8);
-            let sharing = 1 + reading.sharing() / SHARING_A_PAUSE;
-            doubled.min(self.times.pause_max_ms) * sharing as u64 * self.rarer()
+            let sharing = 1 + reading.subscriber_count() / SHARING_A_PAUSE;
+            doubled.min(self.times.max_retry_pause_ms) * sharing as u64 * self.rarer()
         };
         self.in_row += 1;
         // Hosts that failed together shall not ask together again.
@@ -95,7 +95,7 @@
         }
         tokio::select! {
             () = pause => {}
-            () = reading.answered_after(began_at) => {
+            () = reading.wait_answered_after(began_at) => {
                 let soon_ms = rand::rng().random_range(0..=PAUSE_FIRST_MS);
                 tokio::time::sleep(ms(soon_ms)).await;
             }
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -27,8 +27,8 @@
 use crate::follow::calls::{hedged, poll, wait};
 use crate::follow::failures::Failures;
 use crate::shared::Shared;
-use crate::source::{EndpointChange, EndpointRow, News, Row, Source, SourceError, Topic};
-use crate::subscription::Due;
+use crate::source::{EndpointChange, EndpointRow, Row, Source, SourceError, SourceUpdate, Topic};
+use crate::subscription::ReadReason;
 
 /// How long one wait for changes lasts: each is a call that is paid for.
 const WAIT_MS: u64 = 10_000;
@@ -53,7 +53,7 @@
 /// What became of a call.
 enum Called {
     /// It was answered, or failed.
-    Answered(Result<News, SourceError>),
+    Answered(Result<SourceUpdate, SourceError>),
     /// Others were found to know what a wait would not bring.
     Outdated,
     /// Other hosts passed on all that it was to bring.
@@ -107,7 +107,7 @@
     async fn due(&self, step: Step) -> Step {
         let due = || {
             let times = &self.shared.config.follow;
-            self.shared.subscription.due(self.topic, times)
+            self.shared.subscription.next_read(self.topic, times)
         };
         match step {
             Step::ReadWhole => step,
@@ -116,9 +116,9 @@
                 Step::ReadWhole
             }
             Step::Poll(since) | Step::Wait(since, _) => match due().await {
-                Due::Turn => step,
-                Due::Again => Step::ReadWhole,
-                Due::Doubt => Step::Poll(since),
+                ReadReason::Subscriber => step,
+                ReadReason::Reread => Step::ReadWhole,
+                ReadReason::StaleView => Step::Poll(since),
             },
         }
     }
@@ -140,7 +140,7 @@
                 // together most are passed it by others before.
                 tokio::select! {
                     answer = reading => Called::Answered(answer),
-                    () = shared.view_known() => Called::PassedOn,
+                    () = shared.wait_until_view_known() => Called::PassedOn,
                 }
             }
             Step::Poll(since) => {
@@ -151,16 +151,16 @@
                 answer = wait(shared, source, self.topic, since, wait_ms) => {
                     Called::Answered(answer)
                 }
-                () = shared.subscription.again(self.topic) => Called::Outdated,
+                () = shared.subscription.wait_for_reread(self.topic) => Called::Outdated,
             },
         }
     }
 
     /// Takes what a step brought. Returns the next one, after a pause in which
     /// changes come together.
-    async fn take(&mut self, step: Step, news: News) -> Step {
+    async fn take(&mut self, step: Step, news: SourceUpdate) -> Step {
         let shared = &*self.shared;
-        shared.store_answered(self.topic);
+        shared.record_store_answer(self.topic);
         self.failures.end(shared);
         if !matches!(step, Step::Wait(..)) {
             // Ends the doubt of the other hosts, and their pauses.
@@ -173,9 +173,9 @@
         let gather = if self.is_first {
             START_PAUSE
         } else if shared.subscription.is_standby() {
-            ms(times.standby_gather_ms)
+            ms(times.standby_batch_window_ms)
         } else {
-            ms(times.gather_ms)
+            ms(times.batch_window_ms)
         };
         self.is_first = false;
         tokio::time::sleep(gather).await;
@@ -188,7 +188,7 @@
         if matches!(error, SourceError::HistoryGone) {
             return Step::ReadWhole;
         }
-        self.shared.subscription.not_answered(self.topic);
+        self.shared.subscription.record_failure(self.topic);
         self.failures.pause(&self.shared, error, began_at).await;
         match step {
             Step::Wait(since, _) => Step::Poll(since),
@@ -197,19 +197,19 @@
     }
 }
 
-fn take(shared: &Shared, topic: Topic, news: News, is_whole: bool) {
+fn take(shared: &Shared, topic: Topic, news: SourceUpdate, is_whole: bool) {
     let mut changes = Vec::new();
     let mut evacuations = Vec::new();
     let mut orders = Vec::new();
     let mut is_news = false;
     for row in news.rows {
         match row {
-            Row::Rules(document) => is_news |= shared.take_rules(*document, FROM),
+            Row::Rules(document) => is_news |= shared.replace_rules(*document, FROM),
             Row::Evacuation(row) => evacuations.push(row),
             Row::Rollout(row) => orders.push(row),
             Row::Endpoint(row) => changes.push(row),
             Row::Unreadable(row) => {
-                shared.pass_over(topic, &row);
+                shared.skip_row(topic, &row);
                 if topic == Topic::Endpoints {
                     changes.push(EndpointRow {
                         version: row.version,
@@ -223,28 +223,28 @@
         let change = if is_whole {
             let zones = evacuations.into_iter().filter(|row| row.is_evacuated);
             let zones = zones.map(|row| row.zone);
-            shared.read_evacuations(Evacuations::as_of(news.version, zones), FROM)
+            shared.replace_evacuations(Evacuations::from_snapshot(news.version, zones), FROM)
         } else {
-            shared.follow_evacuations(&evacuations, news.version, FROM)
+            shared.apply_evacuation_changes(&evacuations, news.version, FROM)
         };
         is_news |= change;
         is_news |= if is_whole {
-            shared.read_rollout_orders(RolloutOrders::as_of(news.version, orders), FROM)
+            shared.replace_rollout_orders(RolloutOrders::from_snapshot(news.version, orders), FROM)
         } else {
-            shared.follow_rollout_orders(&orders, news.version, FROM)
+            shared.apply_rollout_order_changes(&orders, news.version, FROM)
         };
     }
     if topic == Topic::Endpoints {
         is_news |= take_endpoints(shared, changes, news.version, is_whole);
-        shared.endpoints_known();
+        shared.record_endpoints_known();
         // No request can have been refused before the fleet first started.
-        if is_whole && !(shared.config.is_first_start && shared.is_new()) {
+        if is_whole && !(shared.config.is_first_start && shared.is_warming_up()) {
             shared.poison_records.read();
         }
     }
     if is_whole {
         shared.topic_refreshed(topic);
-        shared.store_read(news.version.era());
+        shared.record_full_read(news.version.era());
     }
     if is_news {
         shared.publish_now.notify_one();
@@ -270,14 +270,14 @@
                 EndpointChange::Gone(_) => {}
             }
         }
-        let of_era = StoreVersion::of_era(version.era(), 0);
-        fleet.replace(listed, newest.unwrap_or(of_era), now_ms);
+        let in_era = StoreVersion::in_era(version.era(), 0);
+        fleet.replace(listed, newest.unwrap_or(in_era), now_ms);
         unreadable
             .iter()
             .for_each(|name| fleet.endpoints.discard(name, now_ms));
         true
     } else {
-        fleet.take_changes(changes, now_ms)
+        fleet.apply_changes(changes, now_ms)
     };
     drop(fleet);
     if is_news {
--- a/crates/gateway/src/follow/start.rs
+++ b/crates/gateway/src/follow/start.rs
@@ -37,14 +37,14 @@
         return Step::ReadWhole;
     }
     let is_known = tokio::select! {
-        () = shared.view_known() => true,
+        () = shared.wait_until_view_known() => true,
         () = start_patience(shared) => shared.has_view(),
     };
     if !is_known {
         return Step::ReadWhole;
     }
     tokio::time::sleep(HEARD_PAUSE).await;
-    let first = shared.subscription.first_choice();
+    let first = shared.subscription.wait_until_preferred();
     let _either_way_it_may_be_due = tokio::time::timeout(READ_PAUSE, first).await;
     Step::Rest
 }
@@ -62,6 +62,6 @@
         tokio::time::sleep(ms(patience_ms)).await;
         return;
     }
-    let asked = shared.subscription.after_seeds_asked();
+    let asked = shared.subscription.wait_until_seeds_queried();
     let _patience_is_over_either_way = tokio::time::timeout(START_PATIENCE, asked).await;
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -20,7 +20,7 @@
 use crate::answer::CallerBody;
 use crate::attempt::{AttemptResponse, BufferedResponse};
 use crate::call::enter;
-use crate::caller_stream::{CallerStream, ServedBody, Turn};
+use crate::caller_stream::{CallerStream, ConnectionState, ServedBody};
 use crate::dispatch::dispatch;
 use crate::edge::{Refusal, remove_connection_headers};
 use crate::event_log::Event;
@@ -58,13 +58,13 @@
     let limits = shared
         .rules()
         .map_or_else(CallerLimits::default, |rules| *rules.limits());
-    let turn = Arc::new(Turn::default());
+    let turn = Arc::new(ConnectionState::default());
     let head_timeout = Duration::from_millis(limits.head_timeout_ms);
     let unread_timeout = Duration::from_millis(limits.idle_timeout_ms);
     let stream = CallerStream::new(stream, turn.clone(), head_timeout, unread_timeout);
     let service = service_fn(|request| {
         let shared = shared.clone();
-        let serving = turn.serve();
+        let serving = turn.begin_serving();
         async move {
             let response = serve(shared, request).await;
             Ok::<_, Infallible>(response.map(|body| ServedBody {
@@ -83,7 +83,7 @@
     );
     let is_over = tokio::select! {
         _callers_may_break_off = served.as_mut() => true,
-        () = shared.stop_reached(DrainPhase::Drains) => false,
+        () = shared.wait_for_stop_phase(DrainPhase::Drains) => false,
     };
     if !is_over {
         served.as_mut().graceful_shutdown();
--- a/crates/gateway/src/lag.rs
+++ b/crates/gateway/src/lag.rs
@@ -21,9 +21,9 @@
 
 /// The time by which everything waits.
 #[derive(Debug, Default)]
-pub(crate) struct Lag(AtomicU64);
+pub(crate) struct SchedulerLag(AtomicU64);
 
-impl Lag {
+impl SchedulerLag {
     pub(crate) fn ms(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -35,7 +35,7 @@
     for turn in (0..TICKS).cycle() {
         let due = Instant::now() + TICK;
         tokio::time::sleep_until(due).await;
-        shared.notice_pause();
+        shared.detect_suspension();
         last[turn] = due.elapsed().as_millis() as u64;
         let least = last.iter().min().copied().unwrap_or_default();
         shared.lag.0.store(least, Ordering::Relaxed);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -26,6 +26,7 @@
 //! ```
 
 mod access_log;
+mod active_rules;
 mod answer;
 mod arrival;
 mod attempt;
@@ -38,7 +39,7 @@
 mod dispatch;
 mod edge;
 mod end_checks;
-mod endpoint_words;
+mod endpoint_reports;
 mod event_log;
 mod fleet;
 mod follow;
@@ -46,28 +47,27 @@
 mod lag;
 mod metrics;
 mod outage_log;
-mod passed_over;
-mod pause;
 mod peers;
 mod poison;
 mod prefixes;
 mod progress;
 mod relay;
 mod rollouts;
-mod rules_in_force;
 mod run;
 mod shared;
+mod skipped_rows;
 mod source;
 mod status;
 mod subscription;
+mod suspension;
 mod upstream;
 
 pub use arrival::Arrival;
 pub use config::{GatewayConfig, GatewayConfigBuilder};
-pub use edge::{AnswerHead, AskedBackoff, CallHead, Edge, PrefixPart, Refusal, SendHead};
-pub use pause::HostClock;
+pub use edge::{AnswerHead, CallHead, Edge, PrefixPart, Refusal, RequestedBackoff, SendHead};
 pub use run::{RunningGateway, start};
 pub use source::{
-    EndpointChange, EndpointRow, HostRow, ListedEndpoint, News, PoisonRow, RolloutWrite, Row,
-    Source, SourceError, Topic, UnreadableRow,
+    EndpointChange, EndpointRow, HostRow, ListedEndpoint, PoisonRow, RolloutWrite, Row, Source,
+    SourceError, SourceUpdate, Topic, UnreadableRow,
 };
+pub use suspension::HostClock;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -13,17 +13,21 @@
         shared.event_log.dropped() as f64,
     );
     let fleet = shared.fleet();
-    metrics.gauge("peers_heard", "", fleet.load.hosts_heard(now_ms) as f64);
-    let far_hosts = fleet.load.far_hosts();
-    metrics.gauge("hosts_known_by_sums", "", far_hosts as f64);
-    let goes_by_totals = fleet.load.goes_by_totals();
+    metrics.gauge(
+        "peers_heard",
+        "",
+        fleet.load.recent_host_count(now_ms) as f64,
+    );
+    let remote_host_count = fleet.load.remote_host_count();
+    metrics.gauge("hosts_known_by_sums", "", remote_host_count as f64);
+    let uses_fleet_aggregate = fleet.load.uses_fleet_aggregate();
     metrics.gauge(
         "goes_by_relay_sums",
         "",
-        f64::from(u8::from(goes_by_totals)),
+        f64::from(u8::from(uses_fleet_aggregate)),
     );
     metrics.gauge("fleet_requests", "", f64::from(fleet.load.total()));
-    let reads = shared.subscription.has_turn();
+    let reads = shared.subscription.is_subscriber();
     metrics.gauge("reads_platform", "", f64::from(u8::from(reads)));
     let free = shared.connection_permits.available_permits();
     metrics.gauge("caller_places_free", "", free as f64);
@@ -42,7 +46,7 @@
     metrics.gauge("endpoints_leaving", "", leaving as f64);
     let evacuated = fleet.evacuations.zones().len();
     metrics.gauge("evacuated_zones", "", evacuated as f64);
-    let poison = fleet.poison.poison(usize::MAX, now_ms).len();
+    let poison = fleet.poison.poison_requests(usize::MAX, now_ms).len();
     metrics.gauge("poison_requests", "", poison as f64);
     metrics.gauge("endpoints_version", "", fleet.endpoints_version.0 as f64);
     drop(fleet);
--- a/crates/gateway/src/peers/api.rs
+++ b/crates/gateway/src/peers/api.rs
@@ -6,14 +6,14 @@
 use chalkrock_routing::{Evacuations, PoisonRequest, RulesVersion, StoreVersion};
 use serde::{Deserialize, Serialize};
 
-use crate::peers::message::NamedHost;
-use crate::peers::rollouts::RolloutNews;
-use crate::rules_in_force::RulesNews;
+use crate::active_rules::RulesUpdate;
+use crate::peers::message::HostContact;
+use crate::peers::rollouts::RolloutUpdate;
 use crate::source::{EndpointRow, ListedEndpoint};
 
 /// What a host knows already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Have {
+pub(crate) struct KnownVersions {
     /// Where others may ask it once it has taken what it was missing.
     pub(crate) address: SocketAddr,
     pub(crate) rules: RulesVersion,
@@ -25,7 +25,7 @@
 
 /// The list of endpoints as one host knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum EndpointNews {
+pub(crate) enum EndpointUpdate {
     /// The whole list, as of a version.
     Entire {
         version: StoreVersion,
@@ -35,7 +35,7 @@
     Changes(Vec<EndpointRow>),
 }
 
-impl EndpointNews {
+impl EndpointUpdate {
     /// Endpoints that it names.
     pub(crate) fn entries(&self) -> usize {
         match self {
@@ -47,7 +47,7 @@
 
 /// A host knows more, and passes it on to as many others as its link bears.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Busy {
+pub(crate) struct BusyResponse {
     /// The rules that it has in force.
     pub(crate) rules: RulesVersion,
     /// The newest change of the list of endpoints that it knows.
@@ -58,9 +58,9 @@
 
 /// What another host is missing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Missing {
-    pub(crate) rules: Option<RulesNews>,
-    pub(crate) endpoints: Option<EndpointNews>,
+pub(crate) struct MissingState {
+    pub(crate) rules: Option<RulesUpdate>,
+    pub(crate) endpoints: Option<EndpointUpdate>,
     /// The zones that are evacuated: whoever takes endpoints knows them too.
     pub(crate) evacuations: Evacuations,
     /// Requests that are sent no further.
@@ -69,19 +69,19 @@
     /// late.
     pub(crate) is_fresh: bool,
     /// The hosts of the fleet, for one that knows of few.
-    pub(crate) hosts: Vec<NamedHost>,
+    pub(crate) hosts: Vec<HostContact>,
     /// Set if this is not all that it is missing.
-    pub(crate) busy: Option<Busy>,
+    pub(crate) busy: Option<BusyResponse>,
 }
 
-/// What a host knows beside [`Missing`], which hosts of earlier builds read too and
+/// What a host knows beside [`MissingState`], which hosts of earlier builds read too and
 /// which therefore keeps its form.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Besides {
+pub(crate) struct SupplementaryState {
     /// The software that endpoints run.
     pub(crate) builds: KnownBuilds,
     /// Orders to move pools to other builds, and how far that has come.
-    pub(crate) rollouts: Option<RolloutNews>,
+    pub(crate) rollouts: Option<RolloutUpdate>,
 }
 
 /// The software that endpoints run: of each pool one build, and those of others.
@@ -97,8 +97,8 @@
 #[tarpc::service]
 pub(crate) trait PeerApi {
     /// What this host knows beyond `have`.
-    async fn missing(have: Have) -> Missing;
+    async fn missing(have: KnownVersions) -> MissingState;
 
     /// What this host knows of builds and rollouts.
-    async fn besides() -> Besides;
+    async fn besides() -> SupplementaryState;
 }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 
 use chalkrock_routing::{
-    CacheEntry, Evacuations, HostReport, PoisonNews, PoisonRequest, RulesVersion, StoreVersion,
-    SubscriptionRole, SumPath, ZoneSum,
+    AggregatePath, CacheEntry, Evacuations, HostReport, PoisonRequest, PoisonUpdate, RulesVersion,
+    StoreVersion, SubscriptionRole, ZoneAggregate,
 };
 use serde::{Deserialize, Serialize};
 
-use crate::peers::rollouts::{RolloutNews, RolloutTally};
+use crate::peers::rollouts::{RolloutTally, RolloutUpdate};
 
 /// A datagram. Hosts of other builds read it too: what has landed keeps its place and
 /// its fields, and what is new comes behind as a kind of its own, which earlier builds
@@ -20,20 +20,20 @@
     /// From a relay of one zone to those of another.
     ZoneSummary(ZoneSummary),
     /// From a relay to the hosts of its zone: another zone's requests.
-    FarSum(ZoneSum),
+    FarSum(ZoneAggregate),
     /// What endpoints were newly seen to hold.
     CacheEntries(CacheEntries),
     /// What endpoints ended under, or what ran well after all.
-    Poison(Vec<PoisonNews>),
+    Poison(Vec<PoisonUpdate>),
     /// From a relay to the hosts of its large zone, which do not hear each
     /// other.
     RelaySummary(RelaySummary),
     /// From a relay to the hosts of its large zone: the whole fleet's requests.
-    /// Behind it stands, for each recipient its own, an `Option<OwnReport>`:
+    /// Behind it stands, for each recipient its own, an `Option<ReportId>`:
     /// the recipient's report that the sum includes.
-    FleetSum(ZoneSum),
+    FleetSum(ZoneAggregate),
     /// Orders to move pools to other builds, and how far that has come.
-    Rollouts(RolloutNews),
+    Rollouts(RolloutUpdate),
     /// What a host, or a relay of a zone, counted of a rollout's answers.
     RolloutTally(RolloutTally),
 }
@@ -52,7 +52,7 @@
     pub(crate) answered_ago_ms: Option<u32>,
     /// How long ago it last answered a host of another zone.
     pub(crate) far_answered_ago_ms: Option<u32>,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) knowledge: StateDigest,
     /// Some of the zone's hosts that the relay hears; all in turn.
     pub(crate) members: Vec<ZoneMember>,
 }
@@ -74,13 +74,13 @@
     /// The short hash of the zone where it was seen.
     pub(crate) zone: u32,
     /// Whether this comes second hand.
-    pub(crate) path: SumPath,
+    pub(crate) path: AggregatePath,
     pub(crate) holdings: Vec<CacheEntry>,
 }
 
 /// What a host knows, for others to compare with.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Knowledge {
+pub(crate) struct StateDigest {
     /// The rules that it has in force.
     pub(crate) rules: RulesVersion,
     /// The newest change of the list of endpoints that it knows.
@@ -95,7 +95,7 @@
 
 /// A host that another one names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct NamedHost {
+pub(crate) struct HostContact {
     pub(crate) address: SocketAddr,
     /// The short hash of its availability zone.
     pub(crate) zone: u32,
@@ -116,16 +116,16 @@
     pub(crate) far_answered_ago_ms: Option<u32>,
     /// Its requests in progress.
     pub(crate) report: HostReport,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) knowledge: StateDigest,
     /// Some hosts that it hears.
-    pub(crate) hosts: Vec<NamedHost>,
+    pub(crate) hosts: Vec<HostContact>,
 }
 
 /// What a relay tells the other zones of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ZoneSummary {
-    pub(crate) sum: ZoneSum,
+    pub(crate) sum: ZoneAggregate,
     /// How long ago the platform last answered a host of the zone.
     pub(crate) answered_ago_ms: Option<u32>,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) knowledge: StateDigest,
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -15,8 +15,8 @@
 //! any one relay is enough.
 
 mod api;
-mod membership;
 mod message;
+mod peer_table;
 mod publish;
 mod pull;
 mod receive;
@@ -26,8 +26,8 @@
 mod uploads;
 
 pub(crate) use api::KnownBuilds;
-pub(crate) use membership::{Membership, zone_hash};
+pub(crate) use peer_table::{PeerTable, zone_hash};
 pub(crate) use publish::publish;
-pub(crate) use pull::{catch_up_with_any, pull_at_start, pull_when_behind};
+pub(crate) use pull::{catch_up_with_any, pull_at_start, pull_when_outdated};
 pub(crate) use receive::receive;
 pub(crate) use serve::serve_pulls;
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/peer_table.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::config::GatewayConfig;
-use crate::peers::message::{Heartbeat, NamedHost, RelaySummary, ZoneMember};
+use crate::peers::message::{Heartbeat, HostContact, RelaySummary, ZoneMember};
 
 /// Silence after which a host counts as gone.
 const SILENT_AFTER: Duration = Duration::from_secs(2);
@@ -42,12 +42,12 @@
 #[derive(Clone, Copy, Debug)]
 struct NewerPeer {
     address: SocketAddr,
-    is_near: bool,
+    is_same_zone: bool,
 }
 
 /// Another host.
 #[derive(Clone, Debug)]
-pub(super) struct Member {
+pub(super) struct Peer {
     added_at: Instant,
     /// When it was last heard itself.
     pub(super) heard_at: Option<Instant>,
@@ -65,7 +65,7 @@
     pub(super) summed_up_at: Option<Instant>,
 }
 
-impl Member {
+impl Peer {
     fn new(now: Instant, zone: Option<u32>) -> Self {
         Self {
             added_at: now,
@@ -92,7 +92,7 @@
     }
 
     /// Whether it summed up the fleet for this host of late.
-    pub(super) fn sums_up(&self, now: Instant) -> bool {
+    pub(super) fn aggregates(&self, now: Instant) -> bool {
         self.summed_up_at.is_some_and(|at| now - at <= SILENT_AFTER)
     }
 
@@ -131,13 +131,13 @@
 
 /// Whether a host has come up or gone silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct MemberChange {
+pub(crate) struct PeerChange {
     pub(crate) address: SocketAddr,
     pub(crate) is_up: bool,
 }
 
 /// The other hosts as this one knows them.
-pub(crate) struct Membership {
+pub(crate) struct PeerTable {
     pub(crate) own: SocketAddr,
     /// The short hash of this host's availability zone.
     pub(crate) zone: u32,
@@ -145,21 +145,21 @@
     pub(crate) capacity_millicores: u16,
     /// Which life of the host this is.
     pub(crate) incarnation: u64,
-    known: Mutex<HashMap<SocketAddr, Member>>,
+    known: Mutex<HashMap<SocketAddr, Peer>>,
     started_at: Instant,
     /// Whether it is told of others at its start.
     has_seeds: bool,
     /// Whether this host, as a relay, sums up the fleet for its zone.
-    sums_up: AtomicBool,
+    aggregates: AtomicBool,
     /// Whether this host tells other zones of its own.
     is_relay: AtomicBool,
     /// This host's place among those that write for the fleet.
-    writer_place: AtomicUsize,
+    writer_rank: AtomicUsize,
     newer: Mutex<Option<NewerPeer>>,
     pub(crate) newer_known: Notify,
 }
 
-impl Membership {
+impl PeerTable {
     pub(crate) fn new(own: SocketAddr, config: &GatewayConfig, incarnation: u64) -> Arc<Self> {
         Arc::new(Self {
             own,
@@ -169,9 +169,9 @@
             known: Mutex::default(),
             started_at: Instant::now(),
             has_seeds: config.peer_seeds.iter().any(|seed| *seed != own),
-            sums_up: AtomicBool::new(false),
+            aggregates: AtomicBool::new(false),
             is_relay: AtomicBool::new(false),
-            writer_place: AtomicUsize::new(0),
+            writer_rank: AtomicUsize::new(0),
             newer: Mutex::default(),
             newer_known: Notify::new(),
         })
@@ -183,13 +183,13 @@
         self.known().values_mut().for_each(|member| member.age(by));
     }
 
-    pub(super) fn known(&self) -> MutexGuard<'_, HashMap<SocketAddr, Member>> {
+    pub(super) fn known(&self) -> MutexGuard<'_, HashMap<SocketAddr, Peer>> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether this host, as a relay, sums up the fleet for its zone.
-    pub(crate) fn sums_up(&self) -> bool {
-        self.sums_up.load(Ordering::Relaxed)
+    pub(crate) fn aggregates(&self) -> bool {
+        self.aggregates.load(Ordering::Relaxed)
     }
 
     /// Whether this host tells other zones of its own.
@@ -199,21 +199,21 @@
 
     /// This host's place among those that write for the fleet, 0 first; `None` if it is
     /// none of them. It comes first until it knows of others.
-    pub(crate) fn writer_place(&self) -> Option<usize> {
-        let place = self.writer_place.load(Ordering::Relaxed);
+    pub(crate) fn writer_rank(&self) -> Option<usize> {
+        let place = self.writer_rank.load(Ordering::Relaxed);
         (place != NO_PLACE).then_some(place)
     }
 
     pub(super) fn set_writer_place(&self, place: Option<usize>) {
         let place = place.unwrap_or(NO_PLACE);
-        self.writer_place.store(place, Ordering::Relaxed);
+        self.writer_rank.store(place, Ordering::Relaxed);
     }
 
     /// Says what this host does as a relay. Returns whether that changed.
-    pub(super) fn set_relay(&self, is_relay: bool, sums_up: bool) -> bool {
+    pub(super) fn set_relay(&self, is_relay: bool, aggregates: bool) -> bool {
         let was_relay = self.is_relay.swap(is_relay, Ordering::Relaxed);
-        let summed_up = self.sums_up.swap(sums_up, Ordering::Relaxed);
-        was_relay != is_relay || summed_up != sums_up
+        let summed_up = self.aggregates.swap(aggregates, Ordering::Relaxed);
+        was_relay != is_relay || summed_up != aggregates
     }
 
     /// Hosts that may be there, with their zones as far as they are known.
@@ -224,9 +224,7 @@
             if address == self.own {
                 continue;
             }
-            let member = known
-                .entry(address)
-                .or_insert_with(|| Member::new(now, zone));
+            let member = known.entry(address).or_insert_with(|| Peer::new(now, zone));
             member.zone = member.zone.or(zone);
         }
     }
@@ -240,13 +238,13 @@
     }
 
     /// The hosts that are up, this one included.
-    pub(crate) fn up(&self) -> Vec<NamedHost> {
+    pub(crate) fn up(&self) -> Vec<HostContact> {
         self.named_if(|member| member.is_up)
     }
 
     /// The hosts of all zones that were heard of late, this one included. Those
     /// of other zones speak rarely in a large fleet.
-    pub(crate) fn recent(&self) -> Vec<NamedHost> {
+    pub(crate) fn recent(&self) -> Vec<HostContact> {
         let now = Instant::now();
         self.named_if(|member| member.is_recent(now))
     }
@@ -261,23 +259,23 @@
     /// endpoints: this host and all that were heard in the last two minutes, be
     /// they silent. None while the others may not know of this host, or while it
     /// may not know of them.
-    pub(super) fn cold_senders(&self, known: &HashMap<SocketAddr, Member>) -> Vec<MemberHash> {
-        let was_heard = |member: &Member| member.heard_at.or(member.named_at).is_some();
+    pub(super) fn cold_senders(&self, known: &HashMap<SocketAddr, Peer>) -> Vec<MemberHash> {
+        let was_heard = |member: &Peer| member.heard_at.or(member.named_at).is_some();
         let hears_any = known.values().any(was_heard);
         let is_alone = self.has_seeds && !hears_any;
         if self.started_at.elapsed() < COLD_SENDER_AFTER || is_alone {
             return Vec::new();
         }
         let near = known.iter().filter(|(_, member)| {
-            let is_near = member.zone == Some(self.zone);
-            is_near && was_heard(member)
+            let is_same_zone = member.zone == Some(self.zone);
+            is_same_zone && was_heard(member)
         });
         let addresses = near.map(|(address, _)| address).chain([&self.own]);
         addresses.map(host_hash).collect()
     }
 
-    fn named_if(&self, belongs: impl Fn(&Member) -> bool) -> Vec<NamedHost> {
-        let own = NamedHost {
+    fn named_if(&self, belongs: impl Fn(&Peer) -> bool) -> Vec<HostContact> {
+        let own = HostContact {
             address: self.own,
             zone: self.zone,
         };
@@ -285,7 +283,7 @@
         let named = known.iter().filter(|(_, member)| belongs(member));
         let named = named.filter_map(|(&address, member)| {
             let zone = member.zone?;
-            Some(NamedHost { address, zone })
+            Some(HostContact { address, zone })
         });
         named.chain([own]).collect()
     }
@@ -300,10 +298,10 @@
     pub(crate) fn record_newer(&self, address: SocketAddr, zone: u32) {
         let found = NewerPeer {
             address,
-            is_near: zone == self.zone,
+            is_same_zone: zone == self.zone,
         };
         let mut newer = self.newer.lock().unwrap_or_else(PoisonError::into_inner);
-        if newer.is_none_or(|known| !known.is_near) {
+        if newer.is_none_or(|known| !known.is_same_zone) {
             *newer = Some(found);
         }
         drop(newer);
@@ -315,12 +313,12 @@
         &self,
         address: SocketAddr,
         heartbeat: &Heartbeat,
-    ) -> Option<MemberChange> {
+    ) -> Option<PeerChange> {
         let now = Instant::now();
         let mut known = self.known();
         let member = known
             .entry(address)
-            .or_insert_with(|| Member::new(now, Some(heartbeat.zone)));
+            .or_insert_with(|| Peer::new(now, Some(heartbeat.zone)));
         member.heard_at = Some(now);
         member.zone = Some(heartbeat.zone);
         member.reading = heartbeat.reading;
@@ -334,7 +332,7 @@
         &self,
         address: SocketAddr,
         summary: &RelaySummary,
-    ) -> Vec<MemberChange> {
+    ) -> Vec<PeerChange> {
         let now = Instant::now();
         let mut known = self.known();
         let relay = ZoneMember {
@@ -350,7 +348,7 @@
         for named in members.chain([&relay]) {
             let member = known
                 .entry(named.address)
-                .or_insert_with(|| Member::new(now, Some(summary.zone)));
+                .or_insert_with(|| Peer::new(now, Some(summary.zone)));
             member.zone = Some(summary.zone);
             // What a host says itself goes before a relay's word of it.
             if !member.is_heard(now) || named.address == address {
@@ -373,7 +371,7 @@
         let mut known = self.known();
         let member = known
             .entry(address)
-            .or_insert_with(|| Member::new(now, Some(zone)));
+            .or_insert_with(|| Peer::new(now, Some(zone)));
         member.heard_at = Some(now);
         member.zone = Some(zone);
         member.relayed_at = Some(now);
@@ -381,8 +379,8 @@
 
     /// Whether a host of a zone speaks for itself alone: not if zones tell each
     /// other sums, and it is of another one.
-    pub(crate) fn counts_alone(&self, zone: u32, far_hosts: usize) -> bool {
-        zone == self.zone || far_hosts == 0
+    pub(crate) fn counts_alone(&self, zone: u32, remote_host_count: usize) -> bool {
+        zone == self.zone || remote_host_count == 0
     }
 }
 
@@ -397,14 +395,14 @@
 }
 
 /// Notes that a host is up. Returns whether that is news.
-fn mark_up(address: SocketAddr, member: &mut Member) -> Option<MemberChange> {
+fn mark_up(address: SocketAddr, member: &mut Peer) -> Option<PeerChange> {
     if member.is_up {
         return None;
     }
     member.is_up = true;
     // It may not know this host yet: it is told at the next round.
     member.sent_at = None;
-    Some(MemberChange {
+    Some(PeerChange {
         address,
         is_up: true,
     })
@@ -413,16 +411,16 @@
 /// Marks hosts that have fallen silent. Those of other zones are no news: in a
 /// large fleet they are heard by their relays.
 pub(super) fn mark_silent(
-    known: &mut HashMap<SocketAddr, Member>,
+    known: &mut HashMap<SocketAddr, Peer>,
     zone: u32,
     now: Instant,
-) -> Vec<MemberChange> {
+) -> Vec<PeerChange> {
     let mut gone = Vec::new();
     for (address, member) in known {
         if member.is_up && member.is_silent(now) {
             member.is_up = false;
             if member.zone == Some(zone) {
-                gone.push(MemberChange {
+                gone.push(PeerChange {
                     address: *address,
                     is_up: false,
                 });
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chalkrock_routing::{CacheEntry, REPORT_INTERVAL_MS, SumPath, ZoneSum};
+use chalkrock_routing::{AggregatePath, CacheEntry, REPORT_INTERVAL_MS, ZoneAggregate};
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
 
 use crate::event_log::Event;
-use crate::peers::membership::{MemberChange, Membership, host_hash};
 use crate::peers::message::{
-    CacheEntries, Datagram, Heartbeat, Knowledge, RelaySummary, ZoneSummary,
+    CacheEntries, Datagram, Heartbeat, RelaySummary, StateDigest, ZoneSummary,
 };
+use crate::peers::peer_table::{PeerChange, PeerTable, host_hash};
 use crate::peers::rollouts::rollout_datagrams;
 use crate::peers::round::{GossipRound, RoundInput};
 use crate::shared::Shared;
@@ -52,7 +52,7 @@
 
 /// Sends rounds of datagrams until the process ends, one more whenever there is
 /// news.
-pub(crate) async fn publish(shared: Arc<Shared>, peers: Arc<Membership>, socket: Arc<UdpSocket>) {
+pub(crate) async fn publish(shared: Arc<Shared>, peers: Arc<PeerTable>, socket: Arc<UdpSocket>) {
     let mut ticks = tokio::time::interval(ROUND_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut sequence = 0;
@@ -70,8 +70,8 @@
         sequence += 1;
         number += u64::from(!is_news);
         let input = round_input(&shared, number, is_news, rounds_a_sum);
-        if input.goes_by_totals != from_relays {
-            from_relays = input.goes_by_totals;
+        if input.uses_fleet_aggregate != from_relays {
+            from_relays = input.uses_fleet_aggregate;
             shared.event_log.emit(&Event::LoadSource {
                 from_relays,
                 hosts: input.hosts_known,
@@ -120,8 +120,8 @@
         is_news,
         rounds_a_sum,
         reading: shared.subscription.role(),
-        hosts_known: fleet.load.hosts_known(),
-        goes_by_totals: fleet.load.goes_by_totals(),
+        hosts_known: fleet.load.known_host_count(),
+        uses_fleet_aggregate: fleet.load.uses_fleet_aggregate(),
     }
 }
 
@@ -149,7 +149,7 @@
     };
     let part_length = bytes.len();
     for address in to {
-        let includes = shared.fleet().load.counted_report(address);
+        let includes = shared.fleet().load.included_report(address);
         bytes.truncate(part_length);
         let Ok(included) = postcard::to_stdvec(&includes) else {
             continue;
@@ -159,7 +159,7 @@
     }
 }
 
-fn apply_round(shared: &Shared, peers: &Membership, round: &GossipRound) {
+fn apply_round(shared: &Shared, peers: &PeerTable, round: &GossipRound) {
     let senders = round.cold_senders.clone();
     let own = host_hash(&peers.own);
     shared.fleet().cold.set_hosts(own, senders, peers.is_new());
@@ -170,21 +170,23 @@
     shared
         .subscription
         .set_round(round.sharing, round.hosts, round.is_relay);
-    shared.subscription.set_first_choice(round.is_first_choice);
+    shared
+        .subscription
+        .set_preferred(round.is_preferred_subscriber);
     shared.subscription.set_standby(round.is_standby);
     if round.is_relay_news {
         shared.event_log.emit(&Event::Relays {
             is_relay: round.is_relay,
-            sums_up: round.sums_up,
+            sums_up: round.aggregates,
         });
     }
-    let has_turn = round.reads_platform;
-    if shared.subscription.set_turn(has_turn) {
+    let has_turn = round.is_subscriber;
+    if shared.subscription.set_subscriber(has_turn) {
         shared.event_log.emit(&Event::Reads { has_turn });
     }
 }
 
-pub(super) fn log_member_change(shared: &Shared, news: MemberChange) {
+pub(super) fn log_member_change(shared: &Shared, news: PeerChange) {
     shared.event_log.emit(&Event::Peer {
         address: news.address,
         is_up: news.is_up,
@@ -207,11 +209,11 @@
 /// What to send of this host and, if it is a relay, of its zone.
 fn datagrams_of(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     sequence: u64,
     round: &GossipRound,
 ) -> RoundDatagrams {
-    shared.expire_endpoint_words();
+    shared.expire_endpoint_reports();
     let now_ms = shared.clock.now_ms();
     let rules = shared.rules.version();
     let mut fleet = shared.fleet();
@@ -220,22 +222,22 @@
     fleet.cold.expire(now_ms);
     fleet.prefixes.expire(now_ms);
     fleet.poison.expire(now_ms);
-    let knowledge = Knowledge {
+    let knowledge = StateDigest {
         rules,
         endpoints: fleet.endpoints_version,
         leaving: in_turn(fleet.endpoints.leaving(), sequence),
         evacuations: fleet.evacuations.clone(),
-        poison: fleet.poison.poison(POISON_PER_DATAGRAM, now_ms),
+        poison: fleet.poison.poison_requests(POISON_PER_DATAGRAM, now_ms),
     };
-    let poison_news = fleet.poison.take_pending(POISON_NEWS_PER_DATAGRAM, now_ms);
+    let poison_news = fleet.poison.take_updates(POISON_NEWS_PER_DATAGRAM, now_ms);
     let answered_ago_ms = |whom| shared.subscription.answered_ago_ms(whom);
     let reading = shared.subscription.role();
     let heartbeat = Heartbeat {
         zone: peers.zone,
         reading,
         capacity_millicores: peers.capacity_millicores,
-        answered_ago_ms: answered_ago_ms(AnsweredHost::Own),
-        far_answered_ago_ms: answered_ago_ms(AnsweredHost::Far).filter(|_| round.is_relay),
+        answered_ago_ms: answered_ago_ms(AnsweredHost::Local),
+        far_answered_ago_ms: answered_ago_ms(AnsweredHost::RemoteZone).filter(|_| round.is_relay),
         report: fleet.load.report(peers.incarnation, sequence),
         knowledge: knowledge.clone(),
         hosts: round.named.clone(),
@@ -247,8 +249,8 @@
         near: vec![Datagram::Heartbeat(heartbeat)],
         ..RoundDatagrams::default()
     };
-    let own_entries = || cache_entries(peers.zone, SumPath::Direct, &pending.near);
-    let relayed = || cache_entries(peers.zone, SumPath::Relayed, &pending.relayed);
+    let own_entries = || cache_entries(peers.zone, AggregatePath::Direct, &pending.near);
+    let relayed = || cache_entries(peers.zone, AggregatePath::Relayed, &pending.relayed);
     datagrams.near.extend(own_entries());
     if !poison_news.is_empty() {
         let news = Datagram::Poison(poison_news);
@@ -261,38 +263,40 @@
     if round.is_relay {
         datagrams.far.extend(rollouts.far);
     }
-    if round.sums_up {
+    if round.aggregates {
         datagrams.to_zone.extend(rollouts.to_zone);
     }
     if round.is_relay {
-        let sum = fleet.load.zone_sum(peers.zone, now_ms);
+        let sum = fleet.load.zone_aggregate(peers.zone, now_ms);
         datagrams.far.extend(parts(sum).map(|sum| {
             Datagram::ZoneSummary(ZoneSummary {
                 sum,
-                answered_ago_ms: answered_ago_ms(AnsweredHost::Near),
+                answered_ago_ms: answered_ago_ms(AnsweredHost::SameZone),
                 knowledge: knowledge.clone(),
             })
         }));
-        datagrams
-            .far
-            .extend(cache_entries(peers.zone, SumPath::Direct, &pending.far));
+        datagrams.far.extend(cache_entries(
+            peers.zone,
+            AggregatePath::Direct,
+            &pending.far,
+        ));
     }
-    if round.sums_up {
+    if round.aggregates {
         datagrams.to_zone.push(Datagram::RelaySummary(RelaySummary {
             zone: peers.zone,
             reading,
             capacity_millicores: peers.capacity_millicores,
-            answered_ago_ms: answered_ago_ms(AnsweredHost::Near),
-            far_answered_ago_ms: answered_ago_ms(AnsweredHost::Far),
+            answered_ago_ms: answered_ago_ms(AnsweredHost::SameZone),
+            far_answered_ago_ms: answered_ago_ms(AnsweredHost::RemoteZone),
             knowledge,
             members: round.members.clone(),
         }));
         datagrams.to_zone.extend(own_entries());
         datagrams.to_zone.extend(relayed());
-        let sum = fleet.load.fleet_sum(peers.zone);
+        let sum = fleet.load.fleet_aggregate(peers.zone);
         datagrams.sums.extend(parts(sum).map(Datagram::FleetSum));
     } else if round.is_relay {
-        let sums = fleet.load.far_sums(now_ms).into_iter();
+        let sums = fleet.load.remote_zone_aggregates(now_ms).into_iter();
         datagrams
             .near
             .extend(sums.flat_map(parts).map(Datagram::FarSum));
@@ -314,11 +318,15 @@
 }
 
 /// A sum in parts of a datagram each.
-fn parts(sum: ZoneSum) -> impl Iterator<Item = ZoneSum> {
+fn parts(sum: ZoneAggregate) -> impl Iterator<Item = ZoneAggregate> {
     sum.split(COUNTS_PER_DATAGRAM).into_iter()
 }
 
-fn cache_entries(zone: u32, path: SumPath, all: &[CacheEntry]) -> impl Iterator<Item = Datagram> {
+fn cache_entries(
+    zone: u32,
+    path: AggregatePath,
+    all: &[CacheEntry],
+) -> impl Iterator<Item = Datagram> {
     let datagrams = all.chunks(ENTRIES_PER_DATAGRAM);
     datagrams.map(move |some| {
         Datagram::CacheEntries(CacheEntries {
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -15,11 +15,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::arrival::{Patience, while_arriving};
+use crate::arrival::{IdleLimits, while_arriving};
 use crate::clock::ms;
 use crate::event_log::{Event, PullOutcome};
-use crate::peers::Membership;
-use crate::peers::api::{Besides, Busy, EndpointNews, Have, KnownBuilds, Missing, PeerApiClient};
+use crate::peers::PeerTable;
+use crate::peers::api::{
+    BusyResponse, EndpointUpdate, KnownBuilds, KnownVersions, MissingState, PeerApiClient,
+    SupplementaryState,
+};
 use crate::peers::rollouts::merge_news;
 use crate::shared::Shared;
 use crate::source::{EndpointChange, ListedEndpoint};
@@ -54,18 +57,18 @@
 
 /// Asks the hosts of the settings for all that they know, until this host can
 /// serve.
-pub(crate) async fn pull_at_start(shared: Arc<Shared>, peers: Arc<Membership>) {
+pub(crate) async fn pull_at_start(shared: Arc<Shared>, peers: Arc<PeerTable>) {
     let mut pause = ASK_SEEDS_FIRST;
     while !shared.has_view() {
         // What still arrives when the view is known from elsewhere is not
         // waited for: it would fill this host's link and the other's.
         tokio::select! {
-            () = shared.view_known() => {}
+            () = shared.wait_until_view_known() => {}
             () = pull_from_seeds(&shared, &peers) => {}
         }
-        shared.subscription.seeds_asked();
+        shared.subscription.mark_seeds_queried();
         tokio::select! {
-            () = shared.view_known() => {}
+            () = shared.wait_until_view_known() => {}
             () = tokio::time::sleep(pause.mul_f64(rand::rng().random_range(1.0..2.0))) => {}
         }
         pause = (2 * pause).min(ASK_SEEDS_LAST);
@@ -81,7 +84,7 @@
 
 /// Asks all hosts of the settings together, until one passes on all it takes to
 /// serve, and then one of those that they name while they are busy.
-async fn pull_from_seeds(shared: &Shared, peers: &Membership) {
+async fn pull_from_seeds(shared: &Shared, peers: &PeerTable) {
     let seeds = shared.config.peer_seeds.iter();
     let others = seeds.filter(|seed| **seed != peers.own);
     let pulls = others.map(|seed| {
@@ -105,14 +108,14 @@
 }
 
 /// Pulls from another host whenever one knows more, until the process ends.
-pub(crate) async fn pull_when_behind(shared: Arc<Shared>, peers: Arc<Membership>) {
+pub(crate) async fn pull_when_outdated(shared: Arc<Shared>, peers: Arc<PeerTable>) {
     // The platform may answer within this, which costs no transfer.
-    let patience = ms(shared.config.follow.patience_ms);
+    let patience = ms(shared.config.follow.store_wait_ms);
     'behind: loop {
         let asked = tokio::time::timeout(ASK_EVERY, peers.newer_known.notified());
         let knows_of_more = asked.await.is_ok();
         if knows_of_more {
-            let pause = match (shared.has_view(), shared.subscription.has_turn()) {
+            let pause = match (shared.has_view(), shared.subscription.is_subscriber()) {
                 (false, _) => Duration::ZERO,
                 (true, true) => patience,
                 (true, false) => GATHER,
@@ -132,13 +135,13 @@
             }
         }
         // No host that knows more can be reached: the platform may be.
-        shared.subscription.read_again();
+        shared.subscription.request_reread();
     }
 }
 
 /// Takes what is missing from one of two other hosts, any of them. Returns whether
 /// one could be asked that did not stand still itself.
-pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &Membership) -> bool {
+pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &PeerTable) -> bool {
     const TRIES: usize = 2;
     for _ in 0..TRIES {
         let Some(address) = peers.any() else {
@@ -164,7 +167,7 @@
 
 /// Takes what is missing from a host that knows more, and from those it names
 /// while it is busy.
-async fn catch_up(shared: &Shared, peers: &Membership, first: SocketAddr) -> CaughtUp {
+async fn catch_up(shared: &Shared, peers: &PeerTable, first: SocketAddr) -> CaughtUp {
     let first_byte = ms(shared.config.follow.pull_timeout_ms);
     let mut from = first;
     for _ in 0..BUSY_TRIES {
@@ -196,18 +199,18 @@
 }
 
 /// Whether a host that was busy still knows more.
-fn is_behind(shared: &Shared, busy: &Busy) -> bool {
+fn is_behind(shared: &Shared, busy: &BusyResponse) -> bool {
     busy.rules > shared.rules.version() || busy.endpoints > shared.fleet().endpoints_version
 }
 
 /// Another host that may know as much as one that is busy.
-fn named_by(busy: &Busy, peers: &Membership) -> Option<SocketAddr> {
+fn named_by(busy: &BusyResponse, peers: &PeerTable) -> Option<SocketAddr> {
     let others = busy.ask.iter().filter(|address| **address != peers.own);
     others.choose(&mut rand::rng()).copied()
 }
 
-fn have(shared: &Shared, peers: &Membership) -> Have {
-    Have {
+fn have(shared: &Shared, peers: &PeerTable) -> KnownVersions {
+    KnownVersions {
         address: peers.own,
         hosts: peers.recent().len(),
         rules: shared.rules.version(),
@@ -221,14 +224,14 @@
 async fn pull(
     shared: &Shared,
     from: SocketAddr,
-    have: Have,
+    have: KnownVersions,
     first_byte: Duration,
-) -> Option<(Missing, Besides)> {
+) -> Option<(MissingState, SupplementaryState)> {
     let began_at = Instant::now();
     let count = Arc::new(ByteCount::default());
-    let patience = Patience {
-        first: first_byte,
-        stall: ms(shared.config.follow.stall_ms),
+    let patience = IdleLimits {
+        first_byte: first_byte,
+        between_bytes: ms(shared.config.follow.stall_ms),
     };
     let asked = ask(from, have, count.clone());
     let (outcome, missing) = match while_arriving(asked, || count.read_bytes(), patience).await {
@@ -261,7 +264,11 @@
 /// Asks another host for what this one is missing. What else it knows of endpoints is
 /// asked first: a list that has come is then used at once. A host of an earlier build
 /// breaks off at that, and is asked for the rest alone.
-async fn ask(address: SocketAddr, have: Have, count: Arc<ByteCount>) -> Option<(Missing, Besides)> {
+async fn ask(
+    address: SocketAddr,
+    have: KnownVersions,
+    count: Arc<ByteCount>,
+) -> Option<(MissingState, SupplementaryState)> {
     let client = connect(address, count.clone()).await?;
     if let Ok(besides) = client.besides(tarpc::context::current()).await {
         let missing = client.missing(tarpc::context::current(), have).await.ok()?;
@@ -269,7 +276,7 @@
     }
     let client = connect(address, count).await?;
     let missing = client.missing(tarpc::context::current(), have).await.ok()?;
-    Some((missing, Besides::default()))
+    Some((missing, SupplementaryState::default()))
 }
 
 async fn connect(address: SocketAddr, count: Arc<ByteCount>) -> Option<PeerApiClient> {
@@ -282,27 +289,27 @@
 /// too busy to pass on all.
 fn take(
     shared: &Shared,
-    peers: &Membership,
-    (missing, besides): (Missing, Besides),
-) -> Option<Busy> {
+    peers: &PeerTable,
+    (missing, besides): (MissingState, SupplementaryState),
+) -> Option<BusyResponse> {
     const FROM: &str = "peer";
     let hosts = missing.hosts.iter();
     peers.add(hosts.map(|host| (host.address, Some(host.zone))));
     // Before the endpoints, so that none of an evacuated zone is sent anything.
-    let mut is_news = shared.take_evacuations(&missing.evacuations, FROM);
+    let mut is_news = shared.merge_evacuations(&missing.evacuations, FROM);
     is_news |= shared.merge_poison(&missing.poison, FROM);
     if let Some(rollouts) = besides.rollouts {
         merge_news(shared, rollouts, false);
     }
     if let Some(rules) = missing.rules {
-        is_news |= shared.take_rules_news(rules, FROM);
+        is_news |= shared.apply_rules_update(rules, FROM);
     }
     if let Some(news) = missing.endpoints {
         if take_endpoints(shared, with_builds(news, &besides.builds)) {
             is_news = true;
             shared.log_endpoints(FROM);
         }
-        shared.endpoints_known();
+        shared.record_endpoints_known();
     }
     if is_news && shared.subscription.is_relay() {
         // The hosts of a large zone learn of it from their relays only.
@@ -312,7 +319,7 @@
 }
 
 /// The list of endpoints with the software that each runs, as far as it was told.
-fn with_builds(mut news: EndpointNews, builds: &KnownBuilds) -> EndpointNews {
+fn with_builds(mut news: EndpointUpdate, builds: &KnownBuilds) -> EndpointUpdate {
     let others: HashMap<u32, &BuildVersion> = builds
         .others
         .iter()
@@ -332,8 +339,8 @@
         }
     };
     match &mut news {
-        EndpointNews::Entire { endpoints, .. } => endpoints.iter_mut().for_each(tell),
-        EndpointNews::Changes(rows) => {
+        EndpointUpdate::Entire { endpoints, .. } => endpoints.iter_mut().for_each(tell),
+        EndpointUpdate::Changes(rows) => {
             let changes = rows.iter_mut().map(|row| &mut row.change);
             changes
                 .filter_map(|change| match change {
@@ -346,18 +353,18 @@
     news
 }
 
-fn take_endpoints(shared: &Shared, news: EndpointNews) -> bool {
+fn take_endpoints(shared: &Shared, news: EndpointUpdate) -> bool {
     let now_ms = shared.clock.now_ms();
     let knew_any = shared.knows_endpoints();
     let mut fleet = shared.fleet();
     match news {
-        EndpointNews::Entire { version, endpoints } => {
+        EndpointUpdate::Entire { version, endpoints } => {
             let is_news = version > fleet.endpoints_version || !knew_any;
             if is_news {
                 fleet.replace(endpoints, version, now_ms);
             }
             is_news
         }
-        EndpointNews::Changes(rows) => fleet.take_changes(rows, now_ms),
+        EndpointUpdate::Changes(rows) => fleet.apply_changes(rows, now_ms),
     }
 }
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chalkrock_routing::{Merged, OwnReport, SumPath, ZoneSum};
+use chalkrock_routing::{AggregatePath, MergeOutcome, ReportId, ZoneAggregate};
 use tokio::net::UdpSocket;
 
 use crate::outage_log::OutageLog;
-use crate::peers::membership::Membership;
 use crate::peers::message::{
-    CacheEntries, Datagram, Heartbeat, Knowledge, RelaySummary, ZoneSummary,
+    CacheEntries, Datagram, Heartbeat, RelaySummary, StateDigest, ZoneSummary,
 };
+use crate::peers::peer_table::PeerTable;
 use crate::peers::publish::log_member_change;
 use crate::peers::rollouts::{merge_news, merge_tally};
 use crate::shared::Shared;
@@ -23,7 +23,7 @@
 const RECEIVE_PAUSE: Duration = Duration::from_millis(200);
 
 /// Receives datagrams until the process ends.
-pub(crate) async fn receive(shared: Arc<Shared>, peers: Arc<Membership>, socket: Arc<UdpSocket>) {
+pub(crate) async fn receive(shared: Arc<Shared>, peers: Arc<PeerTable>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
     let mut outage = OutageLog::new("datagrams-socket");
     loop {
@@ -49,7 +49,7 @@
             Datagram::ZoneSummary(summary) => merge_zone_summary(&shared, &peers, address, summary),
             Datagram::FarSum(sum) => merge_far_sum(&shared, &peers, address, sum),
             Datagram::CacheEntries(entries) => merge_cache_entries(&shared, &peers, &entries),
-            Datagram::Poison(news) => shared.merge_poison_news(&news, peers.is_relay()),
+            Datagram::Poison(news) => shared.merge_poison_updates(&news, peers.is_relay()),
             Datagram::RelaySummary(summary) => {
                 merge_relay_summary(&shared, &peers, address, &summary)
             }
@@ -63,7 +63,7 @@
 /// A relay of this host's zone told what the zone's hosts need to know.
 fn merge_relay_summary(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     relay: SocketAddr,
     summary: &RelaySummary,
 ) {
@@ -73,11 +73,15 @@
     for news in peers.record_relay_summary(relay, summary) {
         log_member_change(shared, news);
     }
-    if !peers.sums_up() {
+    if !peers.aggregates() {
         // Relays hear first hand what each other's summaries say, and would
         // keep each other's word alive.
-        merge_answered(shared, AnsweredHost::Near, summary.answered_ago_ms);
-        merge_answered(shared, AnsweredHost::Far, summary.far_answered_ago_ms);
+        merge_answered(shared, AnsweredHost::SameZone, summary.answered_ago_ms);
+        merge_answered(
+            shared,
+            AnsweredHost::RemoteZone,
+            summary.far_answered_ago_ms,
+        );
     }
     merge_knowledge(shared, peers, relay, summary.zone, &summary.knowledge);
 }
@@ -86,12 +90,12 @@
 /// of this host that the sum includes, if any.
 fn merge_fleet_sum(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     relay: SocketAddr,
-    sum: &ZoneSum,
+    sum: &ZoneAggregate,
     rest: &[u8],
 ) {
-    let Ok(includes) = postcard::from_bytes::<Option<OwnReport>>(rest) else {
+    let Ok(includes) = postcard::from_bytes::<Option<ReportId>>(rest) else {
         shared.metrics.count("peer_garbage_total", "", 1);
         return;
     };
@@ -102,10 +106,10 @@
     shared
         .fleet()
         .load
-        .merge_totals(relay, sum, includes, now_ms);
+        .merge_fleet_aggregate(relay, sum, includes, now_ms);
 }
 
-fn merge_heartbeat(shared: &Shared, peers: &Membership, address: SocketAddr, heartbeat: Heartbeat) {
+fn merge_heartbeat(shared: &Shared, peers: &PeerTable, address: SocketAddr, heartbeat: Heartbeat) {
     let news = peers.record_heartbeat(address, &heartbeat);
     if let Some(news) = news.filter(|_| heartbeat.zone == peers.zone) {
         log_member_change(shared, news);
@@ -115,12 +119,16 @@
         .iter()
         .map(|host| (host.address, Some(host.zone)));
     peers.add(named);
-    merge_answered(shared, AnsweredHost::Near, heartbeat.answered_ago_ms);
-    merge_answered(shared, AnsweredHost::Far, heartbeat.far_answered_ago_ms);
+    merge_answered(shared, AnsweredHost::SameZone, heartbeat.answered_ago_ms);
+    merge_answered(
+        shared,
+        AnsweredHost::RemoteZone,
+        heartbeat.far_answered_ago_ms,
+    );
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
-    if peers.counts_alone(heartbeat.zone, fleet.load.far_hosts())
-        && fleet.load.merge(address, heartbeat.report, now_ms) == Merged::Old
+    if peers.counts_alone(heartbeat.zone, fleet.load.remote_host_count())
+        && fleet.load.merge(address, heartbeat.report, now_ms) == MergeOutcome::Stale
     {
         return;
     }
@@ -130,7 +138,7 @@
 
 fn merge_zone_summary(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     address: SocketAddr,
     heartbeat: ZoneSummary,
 ) {
@@ -139,18 +147,20 @@
         return;
     }
     peers.record_zone_relay(address, zone);
-    merge_answered(shared, AnsweredHost::Far, heartbeat.answered_ago_ms);
+    merge_answered(shared, AnsweredHost::RemoteZone, heartbeat.answered_ago_ms);
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
-    let sum: ZoneSum = heartbeat.sum;
-    fleet.load.merge_zone(address, sum, SumPath::Direct, now_ms);
+    let sum: ZoneAggregate = heartbeat.sum;
+    fleet
+        .load
+        .merge_zone_aggregate(address, sum, AggregatePath::Direct, now_ms);
     drop(fleet);
     merge_knowledge(shared, peers, address, zone, &heartbeat.knowledge);
 }
 
 /// Another host tells how long ago the platform answered.
 fn merge_answered(shared: &Shared, whom: AnsweredHost, ago_ms: Option<u32>) {
-    let gained = shared.store_answered_any(whom, ago_ms);
+    let gained = shared.record_any_store_answer(whom, ago_ms);
     if shared
         .subscription
         .is_due_to_relay(gained, &shared.config.follow)
@@ -159,45 +169,47 @@
     }
 }
 
-fn merge_far_sum(shared: &Shared, peers: &Membership, relay: SocketAddr, sum: ZoneSum) {
+fn merge_far_sum(shared: &Shared, peers: &PeerTable, relay: SocketAddr, sum: ZoneAggregate) {
     if sum.zone == peers.zone {
         return;
     }
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
-    fleet.load.merge_zone(relay, sum, SumPath::Relayed, now_ms);
+    fleet
+        .load
+        .merge_zone_aggregate(relay, sum, AggregatePath::Relayed, now_ms);
 }
 
-fn merge_cache_entries(shared: &Shared, peers: &Membership, told: &CacheEntries) {
+fn merge_cache_entries(shared: &Shared, peers: &PeerTable, told: &CacheEntries) {
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
     match told.path {
-        SumPath::Relayed => fleet.prefixes.merge_relayed(&told.holdings, now_ms),
-        SumPath::Direct if told.zone == peers.zone => {
+        AggregatePath::Relayed => fleet.prefixes.merge_relayed(&told.holdings, now_ms),
+        AggregatePath::Direct if told.zone == peers.zone => {
             fleet
                 .prefixes
-                .merge_near(&told.holdings, peers.sums_up(), now_ms);
+                .merge_same_zone(&told.holdings, peers.aggregates(), now_ms);
         }
-        SumPath::Direct => fleet.prefixes.merge_far(&told.holdings, now_ms),
+        AggregatePath::Direct => fleet.prefixes.merge_remote_zone(&told.holdings, now_ms),
     }
 }
 
 fn merge_knowledge(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     address: SocketAddr,
     zone: u32,
-    knowledge: &Knowledge,
+    knowledge: &StateDigest,
 ) {
     if shared.mark_leaving(&knowledge.leaving, "peer", None) {
         shared
             .metrics
             .count("leaving_heard_from_peers_total", "", 1);
-        if peers.sums_up() {
+        if peers.aggregates() {
             shared.publish_now.notify_one();
         }
     }
-    if shared.take_evacuations(&knowledge.evacuations, "peer") && peers.is_relay() {
+    if shared.merge_evacuations(&knowledge.evacuations, "peer") && peers.is_relay() {
         shared.publish_now.notify_one();
     }
     if shared.merge_poison(&knowledge.poison, "peer") && peers.is_relay() {
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::Fleet;
-use crate::peers::membership::Membership;
 use crate::peers::message::Datagram;
+use crate::peers::peer_table::PeerTable;
 use crate::rollouts::KnownRecord;
 use crate::shared::Shared;
 
@@ -18,7 +18,7 @@
 
 /// Orders to move pools to other builds, and how far that has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct RolloutNews {
+pub(crate) struct RolloutUpdate {
     pub(crate) orders: RolloutOrders,
     pub(crate) pools: Vec<PoolRollout>,
 }
@@ -41,7 +41,7 @@
     pub(crate) order: StoreVersion,
     /// The short hash of the zone that the host is of, or that is summed up.
     pub(crate) zone: u32,
-    pub(crate) of: TallyOf,
+    pub(crate) of: TallyScope,
     pub(crate) rows: Vec<TallyRow>,
     /// How long the longest request of each route stayed, in milliseconds.
     pub(crate) longest_stays_ms: Vec<(Arc<str>, u64)>,
@@ -49,7 +49,7 @@
 
 /// Whose counts these are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum TallyOf {
+pub(crate) enum TallyScope {
     /// The sender's, in one life.
     Host { incarnation: u64 },
     /// All hosts of the sender's zone that it hears.
@@ -68,7 +68,7 @@
 }
 
 /// What is known of rollouts, to pass on; `None` where none is known.
-pub(super) fn news_of(fleet: &Fleet, now_ms: u64) -> Option<RolloutNews> {
+pub(super) fn news_of(fleet: &Fleet, now_ms: u64) -> Option<RolloutUpdate> {
     let rollouts = &fleet.rollouts;
     if rollouts.is_empty() {
         return None;
@@ -83,18 +83,14 @@
             record: record.map(|(record, version)| (record.clone(), version)),
         })
     });
-    Some(RolloutNews {
+    Some(RolloutUpdate {
         orders: rollouts.orders().clone(),
         pools: pools.collect(),
     })
 }
 
 /// The datagrams of a round.
-pub(super) fn rollout_datagrams(
-    fleet: &Fleet,
-    peers: &Membership,
-    now_ms: u64,
-) -> RolloutDatagrams {
+pub(super) fn rollout_datagrams(fleet: &Fleet, peers: &PeerTable, now_ms: u64) -> RolloutDatagrams {
     let Some(news) = news_of(fleet, now_ms) else {
         return RolloutDatagrams::default();
     };
@@ -117,9 +113,9 @@
         if is_over {
             continue;
         }
-        let stays_ms = fleet.longest_stays_ms(pool, now_ms);
+        let stays_ms = fleet.max_service_times_ms(pool, now_ms);
         let stays_ms: Vec<(Arc<str>, u64)> = stays_ms.into_iter().collect();
-        let datagram = |of: TallyOf, rows: &[TallyRow]| {
+        let datagram = |of: TallyScope, rows: &[TallyRow]| {
             Datagram::RolloutTally(RolloutTally {
                 pool: pool.clone(),
                 order,
@@ -130,14 +126,14 @@
             })
         };
         let incarnation = peers.incarnation;
-        let own = Vec::from(evidence.own().clone());
+        let own = Vec::from(evidence.local_tally().clone());
         let own = own.chunks(ROWS_PER_DATAGRAM);
-        let own = own.map(|rows| datagram(TallyOf::Host { incarnation }, rows));
+        let own = own.map(|rows| datagram(TallyScope::Host { incarnation }, rows));
         datagrams.near.extend(own);
         if peers.is_relay() {
-            let zone = Vec::from(evidence.zone_sum());
+            let zone = Vec::from(evidence.zone_tally());
             let zone = zone.chunks(ROWS_PER_DATAGRAM);
-            let zone = zone.map(|rows| datagram(TallyOf::Zone, rows));
+            let zone = zone.map(|rows| datagram(TallyScope::Zone, rows));
             datagrams.far.extend(zone);
         }
     }
@@ -145,14 +141,14 @@
 }
 
 /// Another host told of rollouts. A relay passes on what is news.
-pub(super) fn merge_news(shared: &Shared, news: RolloutNews, passes_on: bool) {
+pub(super) fn merge_news(shared: &Shared, news: RolloutUpdate, passes_on: bool) {
     const FROM: &str = "peer";
-    let mut is_news = shared.take_rollout_orders(&news.orders, FROM);
+    let mut is_news = shared.merge_rollout_orders(&news.orders, FROM);
     let now_ms = shared.clock.now_ms();
     for told in news.pools {
         let mut fleet = shared.fleet();
         let rollouts = &mut fleet.rollouts;
-        rollouts.take_age(&told.pool, told.order, told.age_ms, now_ms);
+        rollouts.merge_age(&told.pool, told.order, told.age_ms, now_ms);
         drop(fleet);
         if let Some((record, version)) = told.record {
             let known = KnownRecord {
@@ -160,7 +156,7 @@
                 record,
                 version,
             };
-            is_news |= shared.take_rollout_record(known, None, FROM);
+            is_news |= shared.merge_rollout_record(known, None, FROM);
         }
     }
     if is_news && passes_on {
@@ -171,27 +167,27 @@
 /// Another host, or a relay of another zone, told what it counted.
 pub(super) fn merge_tally(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     address: SocketAddr,
     told: RolloutTally,
 ) {
     let mut fleet = shared.fleet();
-    let is_alone = peers.counts_alone(told.zone, fleet.load.far_hosts());
+    let is_alone = peers.counts_alone(told.zone, fleet.load.remote_host_count());
     let source = match told.of {
-        TallyOf::Host { incarnation } if is_alone => EvidenceSource::Host {
+        TallyScope::Host { incarnation } if is_alone => EvidenceSource::Host {
             host: address,
             incarnation,
         },
-        TallyOf::Zone if told.zone != peers.zone => EvidenceSource::Zone {
+        TallyScope::Zone if told.zone != peers.zone => EvidenceSource::Zone {
             zone: told.zone,
             relay: address,
         },
-        TallyOf::Host { .. } | TallyOf::Zone => return,
+        TallyScope::Host { .. } | TallyScope::Zone => return,
     };
     if let Some(evidence) = fleet.rollouts.evidence_mut(&told.pool, told.order) {
         evidence.merge(source, told.rows.into());
         for (route, stay_ms) in &told.longest_stays_ms {
-            evidence.stayed(route, *stay_ms);
+            evidence.record_service_time(route, *stay_ms);
         }
     }
 }
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -12,12 +12,14 @@
 use std::time::Duration;
 
 use chalkrock_core::rendezvous::{KeyHash, MemberHash, score};
-use chalkrock_routing::{HeardHost, RELAYS, SubscriptionRole, ZoneView, readers_wanted};
+use chalkrock_routing::{
+    RELAYS_PER_ZONE, SubscriptionRole, ZonePeer, ZoneView, subscribers_needed,
+};
 use rand::seq::IndexedRandom;
 use tokio::time::Instant;
 
-use crate::peers::membership::{Member, MemberChange, Membership, host_hash, mark_silent};
-use crate::peers::message::{NamedHost, ZoneMember};
+use crate::peers::message::{HostContact, ZoneMember};
+use crate::peers::peer_table::{Peer, PeerChange, PeerTable, host_hash, mark_silent};
 
 /// How often a host that does not answer is told.
 const SILENT_RESEND_INTERVAL: Duration = Duration::from_secs(2);
@@ -51,7 +53,7 @@
     /// Hosts whose requests are known, this one included.
     pub(crate) hosts_known: usize,
     /// Whether this host goes by what relays of its zone sum up.
-    pub(crate) goes_by_totals: bool,
+    pub(crate) uses_fleet_aggregate: bool,
 }
 
 /// The recipients of one gossip round.
@@ -60,7 +62,7 @@
     /// Recipients of this host's heartbeat.
     pub(crate) due: Vec<SocketAddr>,
     /// Hosts to name to them, which they may not know.
-    pub(crate) named: Vec<NamedHost>,
+    pub(crate) named: Vec<HostContact>,
     /// Hosts of other zones to tell of this zone, if this host is a relay.
     pub(crate) far: Vec<SocketAddr>,
     /// Hosts of the own zone to send the sum of the fleet, if this host is a
@@ -68,17 +70,17 @@
     pub(crate) sum_to: Vec<SocketAddr>,
     /// Hosts of the zone to name to these.
     pub(crate) members: Vec<ZoneMember>,
-    pub(crate) reads_platform: bool,
+    pub(crate) is_subscriber: bool,
     /// Whether this host comes among the first to read, whoever does so far.
-    pub(crate) is_first_choice: bool,
+    pub(crate) is_preferred_subscriber: bool,
     /// Whether readers of other zones come first.
     pub(crate) is_standby: bool,
     pub(crate) is_relay: bool,
     /// Whether what this host does as a relay has changed.
     pub(crate) is_relay_news: bool,
     /// Whether this host, as a relay, sums up the fleet for its zone.
-    pub(crate) sums_up: bool,
-    pub(crate) gone: Vec<MemberChange>,
+    pub(crate) aggregates: bool,
+    pub(crate) gone: Vec<PeerChange>,
     /// Hosts that share the reading: all of a small fleet, the readers of a
     /// large one.
     pub(crate) sharing: usize,
@@ -88,7 +90,7 @@
     pub(crate) cold_senders: Vec<MemberHash>,
 }
 
-impl Membership {
+impl PeerTable {
     /// Works out the recipients of the next round and this host's roles.
     pub(crate) fn round(&self, input: &RoundInput) -> GossipRound {
         let now = Instant::now();
@@ -98,33 +100,33 @@
         let gone = mark_silent(&mut known, self.zone, now);
         let view = self.view(&known, input.hosts_known);
         let zone_view = view.zone_view();
-        let own = HeardHost {
+        let own = ZonePeer {
             hash: host_hash(&self.own),
-            reading: input.reading,
+            role: input.reading,
             capacity_millicores: self.capacity_millicores,
         };
         let is_large = zone_view.is_large();
-        let place = zone_view.relay_place(&own).filter(|_| is_large);
-        let is_relayed = zone_view.is_relayed(self.sums_up());
-        let sums_up = place.is_some() && is_relayed;
-        let is_relay_news = self.set_relay(place.is_some(), sums_up);
-        let writer_place = if is_large {
-            place.map(|place| RELAYS * view.zones_before + place)
+        let place = zone_view.relay_rank(&own).filter(|_| is_large);
+        let uses_relays = zone_view.uses_relays(self.aggregates());
+        let aggregates = place.is_some() && uses_relays;
+        let is_relay_news = self.set_relay(place.is_some(), aggregates);
+        let writer_rank = if is_large {
+            place.map(|place| RELAYS_PER_ZONE * view.zones_before + place)
         } else {
-            Some(zone_view.place(&own))
+            Some(zone_view.rank(&own))
         };
-        self.set_writer_place(writer_place);
+        self.set_writer_place(writer_rank);
         let mut round = GossipRound {
-            reads_platform: zone_view.reads_platform(&own),
-            is_first_choice: zone_view.is_first_choice(&own),
+            is_subscriber: zone_view.is_subscriber(&own),
+            is_preferred_subscriber: zone_view.is_preferred_subscriber(&own),
             named,
             is_standby: view.zones_before >= ZONES_READING_FIRST,
             is_relay: place.is_some(),
             is_relay_news,
-            sums_up,
+            aggregates,
             gone,
             sharing: if is_large {
-                readers_wanted(view.hosts)
+                subscribers_needed(view.hosts)
             } else {
                 view.others.len()
             },
@@ -134,26 +136,26 @@
         };
         if let Some(place) = place {
             round.far = self.far_relays(&known, now);
-            if sums_up {
+            if aggregates {
                 round.sum_to = self.sum_to(&known, place, input);
                 round.members = self.members(&known, input.number, now);
             }
         }
-        let reports_to_relays = sums_up || input.goes_by_totals;
+        let reports_to_relays = aggregates || input.uses_fleet_aggregate;
         round.due = self.due(&mut known, now, is_large, reports_to_relays);
         round
     }
 
     /// Some hosts that are up, any of them.
-    fn named(&self) -> Vec<NamedHost> {
+    fn named(&self) -> Vec<HostContact> {
         let up = self.up();
         up.sample(&mut rand::rng(), NAMED_MAX).copied().collect()
     }
 
-    fn view(&self, known: &HashMap<SocketAddr, Member>, hosts_known: usize) -> View {
+    fn view(&self, known: &HashMap<SocketAddr, Peer>, hosts_known: usize) -> View {
         let up = || known.iter().filter(|(_, member)| member.is_up);
         let near = up().filter(|(_, member)| member.zone == Some(self.zone));
-        let others: Vec<HeardHost> = near.map(heard_host).collect();
+        let others: Vec<ZonePeer> = near.map(heard_host).collect();
         let mut zones: Vec<u32> = known.values().filter_map(|member| member.zone).collect();
         zones.push(self.zone);
         zones.sort_unstable();
@@ -178,7 +180,7 @@
 
     fn due(
         &self,
-        known: &mut HashMap<SocketAddr, Member>,
+        known: &mut HashMap<SocketAddr, Peer>,
         now: Instant,
         is_large: bool,
         reports_to_relays: bool,
@@ -186,7 +188,7 @@
         let mut due = Vec::new();
         for (address, member) in known {
             let is_far = member.zone.is_some_and(|zone| zone != self.zone);
-            let hears_by_relays = reports_to_relays && !member.sums_up(now);
+            let hears_by_relays = reports_to_relays && !member.aggregates(now);
             let pause = if is_large && is_far {
                 FAR_RESEND_INTERVAL
             } else if !member.is_up {
@@ -208,7 +210,7 @@
     /// goes by one of the two relays, and hears the other every few rounds.
     fn sum_to(
         &self,
-        known: &HashMap<SocketAddr, Member>,
+        known: &HashMap<SocketAddr, Peer>,
         place: usize,
         input: &RoundInput,
     ) -> Vec<SocketAddr> {
@@ -229,13 +231,13 @@
     /// itself, all in turn.
     fn members(
         &self,
-        known: &HashMap<SocketAddr, Member>,
+        known: &HashMap<SocketAddr, Peer>,
         number: u64,
         now: Instant,
     ) -> Vec<ZoneMember> {
         let heard = known.iter().filter(|(_, member)| {
-            let is_near = member.zone == Some(self.zone);
-            is_near && member.is_heard(now)
+            let is_same_zone = member.zone == Some(self.zone);
+            is_same_zone && member.is_heard(now)
         });
         let mut heard: Vec<ZoneMember> = heard
             .map(|(address, member)| ZoneMember {
@@ -253,8 +255,8 @@
     /// The hosts of each other zone that pass on what they are told: those that
     /// spoke for it, else those that come first by rank, and one at random in
     /// case these are gone.
-    fn far_relays(&self, known: &HashMap<SocketAddr, Member>, now: Instant) -> Vec<SocketAddr> {
-        let mut by_zone: BTreeMap<u32, Vec<(&SocketAddr, &Member)>> = BTreeMap::new();
+    fn far_relays(&self, known: &HashMap<SocketAddr, Peer>, now: Instant) -> Vec<SocketAddr> {
+        let mut by_zone: BTreeMap<u32, Vec<(&SocketAddr, &Peer)>> = BTreeMap::new();
         for (address, member) in known {
             if let Some(zone) = member.zone.filter(|zone| *zone != self.zone) {
                 by_zone.entry(zone).or_default().push((address, member));
@@ -282,7 +284,7 @@
 }
 
 struct View {
-    others: Vec<HeardHost>,
+    others: Vec<ZonePeer>,
     hosts: usize,
     zones: usize,
     /// Zones that come before the host's own, by their hashes.
@@ -299,10 +301,10 @@
     }
 }
 
-fn heard_host((address, member): (&SocketAddr, &Member)) -> HeardHost {
-    HeardHost {
+fn heard_host((address, member): (&SocketAddr, &Peer)) -> ZonePeer {
+    ZonePeer {
         hash: host_hash(address),
-        reading: member.reading,
+        role: member.reading,
         capacity_millicores: member.capacity_millicores,
     }
 }
@@ -315,5 +317,5 @@
 
 /// The place of the relay that a host goes by.
 fn relay_of(address: &SocketAddr) -> usize {
-    host_hash(address).short() as usize % RELAYS
+    host_hash(address).short() as usize % RELAYS_PER_ZONE
 }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -11,14 +11,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::OwnedSemaphorePermit;
 
-use crate::arrival::{Patience, while_arriving};
+use crate::active_rules::RulesUpdate;
+use crate::arrival::{IdleLimits, while_arriving};
 use crate::clock::ms;
 use crate::outage_log::OutageLog;
-use crate::peers::Membership;
-use crate::peers::api::{Besides, Busy, EndpointNews, Have, Missing, PeerApi};
+use crate::peers::PeerTable;
+use crate::peers::api::{
+    BusyResponse, EndpointUpdate, KnownVersions, MissingState, PeerApi, SupplementaryState,
+};
 use crate::peers::rollouts::news_of;
 use crate::peers::uploads::Uploads;
-use crate::rules_in_force::RulesNews;
 use crate::shared::Shared;
 
 /// Pause after the system could not accept.
@@ -34,11 +36,7 @@
 const POISON_MAX: usize = 1_024;
 
 /// Answers other hosts, until the process ends.
-pub(crate) async fn serve_pulls(
-    shared: Arc<Shared>,
-    peers: Arc<Membership>,
-    listener: TcpListener,
-) {
+pub(crate) async fn serve_pulls(shared: Arc<Shared>, peers: Arc<PeerTable>, listener: TcpListener) {
     let uploads = Arc::new(Uploads::new(shared.config.uploads_max));
     let mut outage = OutageLog::new("peers-socket");
     loop {
@@ -57,15 +55,15 @@
 /// host that has gone shall not keep others from their turn.
 async fn serve(answers: Answers, stream: TcpStream) {
     let count = Arc::new(ByteCount::default());
-    let stall = ms(answers.shared.config.follow.stall_ms);
-    let patience = Patience {
-        first: stall,
-        stall,
+    let between_bytes = ms(answers.shared.config.follow.stall_ms);
+    let limits = IdleLimits {
+        first_byte: between_bytes,
+        between_bytes,
     };
     let channel = BaseChannel::with_defaults(transport(stream, count.clone()));
     let requests = run_requests(channel.execute(answers.serve()));
     let moved = || count.read_bytes() + count.written_bytes();
-    let _closed_either_way = while_arriving(requests, moved, patience).await;
+    let _closed_either_way = while_arriving(requests, moved, limits).await;
 }
 
 async fn run_requests<F: Future<Output = ()>>(requests: impl Stream<Item = F>) {
@@ -79,7 +77,7 @@
 #[derive(Clone)]
 struct Answers {
     shared: Arc<Shared>,
-    peers: Arc<Membership>,
+    peers: Arc<PeerTable>,
     uploads: Arc<Uploads>,
     /// Held from an answer with many entries until the connection ends, as it
     /// does when the answer has arrived.
@@ -87,16 +85,20 @@
 }
 
 impl PeerApi for Answers {
-    async fn missing(self, _: tarpc::context::Context, have: Have) -> Missing {
+    async fn missing(self, _: tarpc::context::Context, have: KnownVersions) -> MissingState {
         let mut hosts = self.peers.recent();
         if have.hosts > hosts.len() / FEW_PART {
             hosts.clear();
         }
-        self.shared.notice_pause();
+        self.shared.detect_suspension();
         let now_ms = self.shared.clock.now_ms();
-        let poison = self.shared.fleet().poison.poison(POISON_MAX, now_ms);
-        let missing = Missing {
-            rules: self.shared.rules.news_since(have.rules),
+        let poison = self
+            .shared
+            .fleet()
+            .poison
+            .poison_requests(POISON_MAX, now_ms);
+        let missing = MissingState {
+            rules: self.shared.rules.update_since(have.rules),
             endpoints: endpoint_news(&self.shared, have.endpoints),
             evacuations: self.shared.fleet().evacuations.clone(),
             poison,
@@ -107,10 +109,10 @@
         self.within_uploads(missing, have.address)
     }
 
-    async fn besides(self, _: tarpc::context::Context) -> Besides {
+    async fn besides(self, _: tarpc::context::Context) -> SupplementaryState {
         let now_ms = self.shared.clock.now_ms();
         let fleet = self.shared.fleet();
-        Besides {
+        SupplementaryState {
             builds: fleet.known_builds(),
             rollouts: news_of(&fleet, now_ms),
         }
@@ -120,20 +122,23 @@
 impl Answers {
     /// An answer as it may be sent now: what is large only while few such are
     /// on their way.
-    fn within_uploads(&self, missing: Missing, to: SocketAddr) -> Missing {
-        let rules = missing.rules.as_ref().map_or(0, RulesNews::entries);
-        let endpoints = missing.endpoints.as_ref().map_or(0, EndpointNews::entries);
+    fn within_uploads(&self, missing: MissingState, to: SocketAddr) -> MissingState {
+        let rules = missing.rules.as_ref().map_or(0, RulesUpdate::entries);
+        let endpoints = missing
+            .endpoints
+            .as_ref()
+            .map_or(0, EndpointUpdate::entries);
         if rules + endpoints <= SMALL_ENTRIES {
             return missing;
         }
         let version = self.shared.rules.version();
         let Some(permit) = self.uploads.begin(version, to) else {
-            let busy = Busy {
+            let busy = BusyResponse {
                 rules: version,
                 endpoints: self.shared.fleet().endpoints_version,
                 ask: self.uploads.takers(version),
             };
-            return Missing {
+            return MissingState {
                 rules: missing.rules.filter(|_| rules <= SMALL_ENTRIES),
                 endpoints: missing.endpoints.filter(|_| endpoints <= SMALL_ENTRIES),
                 busy: Some(busy),
@@ -147,13 +152,13 @@
 }
 
 /// What another host is missing of the list, given the version that it has.
-fn endpoint_news(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointNews> {
+fn endpoint_news(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointUpdate> {
     if !shared.knows_endpoints() {
         return None;
     }
     let now_ms = shared.clock.now_ms();
     let fleet = shared.fleet();
-    let whole = || EndpointNews::Entire {
+    let whole = || EndpointUpdate::Entire {
         version: fleet.endpoints_version,
         endpoints: fleet.listed(now_ms),
     };
@@ -163,6 +168,8 @@
     if fleet.endpoints_version <= have {
         return None;
     }
-    let changes = fleet.changes_after(have, now_ms).map(EndpointNews::Changes);
+    let changes = fleet
+        .changes_after(have, now_ms)
+        .map(EndpointUpdate::Changes);
     Some(changes.unwrap_or_else(whole))
 }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -11,7 +11,8 @@
 
 use chalkrock_core::{Endpoint, HostState, Reason};
 use chalkrock_routing::{
-    AttemptOutcome, POISON_MS, PoisonNews, PoisonRequest, RequestFingerprint, Verdict,
+    AttemptOutcome, POISON_RETENTION_MS, PoisonRequest, PoisonUpdate, PoisonVerdict,
+    RequestFingerprint,
 };
 use tokio::sync::Notify;
 
@@ -95,10 +96,10 @@
     pub(crate) fn refuse_poison(&self, request: RequestFingerprint) -> Result<(), Refusal> {
         let now_ms = self.clock.now_ms();
         let mut fleet = self.fleet();
-        let Some(left_ms) = fleet.poison.left_ms(request, now_ms) else {
+        let Some(left_ms) = fleet.poison.remaining_ms(request, now_ms) else {
             return Ok(());
         };
-        fleet.poison.came_again(request, now_ms);
+        fleet.poison.record_repeat(request, now_ms);
         let crashes = fleet.poison.crashes(request);
         drop(fleet);
         self.metrics.count("poison_refused_total", "", 1);
@@ -113,7 +114,7 @@
     /// what ran there. An endpoint that was leaving had reason to end. The others are
     /// told at once of what was there twice, and of the rest in the next round: where a
     /// zone is lost each request that broke would bring a round of its own.
-    pub(crate) async fn attempt_broke(
+    pub(crate) async fn record_broken_attempt(
         &self,
         request: RequestFingerprint,
         endpoint: &Endpoint,
@@ -125,12 +126,16 @@
             return;
         }
         let start = endpoint.start_hash().short();
-        if !self.end_checks.has_ended(start, endpoint.address).await {
+        if !self
+            .end_checks
+            .has_terminated(start, endpoint.address)
+            .await
+        {
             return;
         }
         let now_ms = self.clock.now_ms();
         let mut fleet = self.fleet();
-        let verdict = fleet.poison.ended_under(request, start, ran_ms, now_ms);
+        let verdict = fleet.poison.record_crash(request, start, ran_ms, now_ms);
         let crashes = fleet.poison.crashes(request);
         drop(fleet);
         self.event_log.emit(&Event::EndpointEnded {
@@ -147,7 +152,7 @@
 
     /// Waits until a request is to be sent no further. One that an endpoint has not
     /// begun to answer by then is taken back: run late, it would end it as well.
-    pub(crate) async fn becomes_poison(&self, request: RequestFingerprint) {
+    pub(crate) async fn wait_until_poison(&self, request: RequestFingerprint) {
         loop {
             let found = self.poison_found.notified();
             let now_ms = self.clock.now_ms();
@@ -159,14 +164,14 @@
     }
 
     /// A request ran to a good end.
-    pub(crate) fn ran_well(&self, request: RequestFingerprint) {
+    pub(crate) fn record_completed_run(&self, request: RequestFingerprint) {
         let now_ms = self.clock.now_ms();
-        let verdict = self.fleet().poison.ended_well(request, now_ms);
+        let verdict = self.fleet().poison.record_completion(request, now_ms);
         self.take_verdicts(verdict, "own");
     }
 
     /// Another host told what it saw of requests.
-    pub(crate) fn merge_poison_news(&self, told: &[PoisonNews], passes_on: bool) {
+    pub(crate) fn merge_poison_updates(&self, told: &[PoisonUpdate], passes_on: bool) {
         let now_ms = self.clock.now_ms();
         let verdicts = self.fleet().poison.merge(told, passes_on, now_ms);
         if passes_on && !verdicts.is_empty() {
@@ -192,23 +197,23 @@
     /// again.
     pub(crate) fn record_poison_again(&self) {
         let now_ms = self.clock.now_ms();
-        let poison = self.fleet().poison.poison(usize::MAX, now_ms);
+        let poison = self.fleet().poison.poison_requests(usize::MAX, now_ms);
         for request in poison {
             self.poison_records.record(request.request);
         }
     }
 
-    fn take_verdicts(&self, verdicts: impl IntoIterator<Item = Verdict>, from: &str) {
+    fn take_verdicts(&self, verdicts: impl IntoIterator<Item = PoisonVerdict>, from: &str) {
         for verdict in verdicts {
             let (fingerprint, is_poison) = match verdict {
-                Verdict::Poison { request, records } => {
+                PoisonVerdict::Poison { request, records } => {
                     if records {
                         self.poison_records.record(request);
                     }
                     self.poison_found.notify_waiters();
                     (request, true)
                 }
-                Verdict::Cleared { request, records } => {
+                PoisonVerdict::Cleared { request, records } => {
                     if records {
                         self.poison_records.remove(request);
                     }
@@ -228,7 +233,7 @@
 
 /// Records at the platform what this host has found, and reads what others have,
 /// until the process ends.
-pub(crate) async fn keep_poison<S: Source>(shared: Arc<Shared>, source: Arc<S>) {
+pub(crate) async fn sync_poison_records<S: Source>(shared: Arc<Shared>, source: Arc<S>) {
     let mut outage = OutageLog::new("platform-poison");
     loop {
         shared.poison_records.is_due.notified().await;
@@ -263,7 +268,7 @@
         remove.extend(over.iter().map(|row| row.request));
         let told = in_force.iter().map(|row| PoisonRequest {
             request: row.request,
-            left_ms: left_ms(row).min(POISON_MS) as u32,
+            left_ms: left_ms(row).min(POISON_RETENTION_MS) as u32,
         });
         let told: Vec<PoisonRequest> = told.collect();
         if shared.merge_poison(&told, "platform") {
@@ -272,7 +277,7 @@
     }
     let add = work.add.iter().map(|request| PoisonRow {
         request: *request,
-        until_unix_ms: now_unix_ms + POISON_MS,
+        until_unix_ms: now_unix_ms + POISON_RETENTION_MS,
     });
     let add: Vec<PoisonRow> = add.collect();
     if add.is_empty() && remove.is_empty() {
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -30,10 +30,10 @@
     }
 
     /// An endpoint answers a request, and so holds the parts of its prompt.
-    pub(crate) fn note(&mut self, parts: &[u32], endpoint: u32, now_ms: u64) {
+    pub(crate) fn record(&mut self, parts: &[u32], endpoint: u32, now_ms: u64) {
         for &part in parts {
             let holding = CacheEntry { part, endpoint };
-            if self.map.note(holding, now_ms) {
+            if self.map.record(holding, now_ms) {
                 self.pending.near.push(holding);
                 self.pending.far.push(holding);
             }
@@ -42,11 +42,16 @@
 
     /// A host told what endpoints hold; the other zones may not know it, nor
     /// may the hosts of this one if it is for this host to tell them.
-    pub(crate) fn merge_near(&mut self, holdings: &[CacheEntry], sums_up: bool, now_ms: u64) {
+    pub(crate) fn merge_same_zone(
+        &mut self,
+        holdings: &[CacheEntry],
+        aggregates: bool,
+        now_ms: u64,
+    ) {
         for holding in holdings {
             if self.map.merge(*holding, now_ms) {
                 self.pending.far.push(*holding);
-                if sums_up {
+                if aggregates {
                     self.pending.relayed.push(*holding);
                 }
             }
@@ -54,7 +59,7 @@
     }
 
     /// Another zone told what endpoints hold; this zone may not know it.
-    pub(crate) fn merge_far(&mut self, holdings: &[CacheEntry], now_ms: u64) {
+    pub(crate) fn merge_remote_zone(&mut self, holdings: &[CacheEntry], now_ms: u64) {
         for holding in holdings {
             if self.map.merge(*holding, now_ms) {
                 self.pending.relayed.push(*holding);
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -5,17 +5,17 @@
 
 use chalkrock_core::{Endpoint, Outcome, Reason};
 use chalkrock_routing::{
-    AdmissionRequest, AnswerSeen, AttemptOutcome, BuildUse, BuildWish, HealthSignal, Next,
+    AdmissionRequest, AttemptOutcome, BuildRequest, BuildUse, HealthSignal, Next, ObservedResponse,
     Repeatable, admits, next_step,
 };
 use rand::RngExt;
 
 use crate::call::Call;
-use crate::edge::{AnswerHead, AskedBackoff, Refusal};
+use crate::edge::{AnswerHead, Refusal, RequestedBackoff};
 use crate::event_log::{AttemptRecord, Event};
-use crate::fleet::{Choice, Fleet, Wanted};
+use crate::fleet::{EndpointQuery, Fleet, SelectedEndpoint};
 use crate::poison::BrokenAttempt;
-use crate::shared::{OfOrganisation, Shared};
+use crate::shared::{OrganisationGuard, Shared};
 
 /// The attempts of one request.
 pub(crate) struct Progress {
@@ -29,7 +29,7 @@
     worst: Outcome,
     attempts: Vec<AttemptRecord>,
     /// Its part of what its organisation has in progress.
-    _share: Option<OfOrganisation>,
+    _share: Option<OrganisationGuard>,
     /// When the last attempt began, on the shared clock.
     sent_at_ms: u64,
     /// Where it went.
@@ -43,10 +43,10 @@
     /// here on, once, however often it is sent.
     pub(crate) fn new(shared: Arc<Shared>, call: Arc<Call>) -> Self {
         let now_ms = shared.clock.now_ms();
-        shared.fleet().budget(&call.pool).request(now_ms);
+        shared.fleet().budget(&call.pool).record_request(now_ms);
         let organisation = call.organisation();
         Self {
-            _share: organisation.map(|name| OfOrganisation::begin(&shared, name)),
+            _share: organisation.map(|name| OrganisationGuard::begin(&shared, name)),
             shared,
             call,
             tried: Vec::new(),
@@ -85,7 +85,7 @@
         let detail = format!(
             "{} in progress on {} places, each for {:.0} ms; a wait of {:.0} ms",
             occupancy.in_progress,
-            occupancy.places,
+            occupancy.slots,
             occupancy.service_ms,
             occupancy.wait_ms()
         );
@@ -109,27 +109,27 @@
 
     /// The endpoint for the next attempt, among those that did not have the
     /// request yet.
-    pub(crate) fn place(&mut self) -> Option<Choice> {
+    pub(crate) fn place(&mut self) -> Option<SelectedEndpoint> {
         let shared = self.shared.clone();
         let now_ms = shared.clock.now_ms();
         let mut fleet = shared.fleet();
         let is_first = self.tried.is_empty() && self.call.head.resume_after.is_none();
-        let wish = BuildWish {
+        let wish = BuildRequest {
             pool: &self.call.pool,
             route: &self.call.route.name,
             is_first,
             hosts: hosts(&fleet, now_ms),
         };
-        self.uses = fleet.rollouts.uses(&wish, now_ms);
+        self.uses = fleet.rollouts.build_uses(&wish, now_ms);
         let choice = fleet.place(&self.wanted(), now_ms)?;
         let start = choice.member.hash.short();
-        fleet.cold.sent(start, now_ms);
-        fleet.backoffs.sent(start, now_ms);
+        fleet.cold.record_sent(start, now_ms);
+        fleet.backoffs.record_sent(start, now_ms);
         Some(choice)
     }
 
-    fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    fn wanted(&self) -> EndpointQuery<'_> {
+        EndpointQuery {
             pool: &self.call.pool,
             shared_parts: &self.call.shared_parts,
             tried: &self.tried,
@@ -147,7 +147,7 @@
     }
 
     /// An attempt begins.
-    pub(crate) fn begin(&mut self, choice: &Choice) {
+    pub(crate) fn begin(&mut self, choice: &SelectedEndpoint) {
         self.sent_at_ms = self.shared.clock.now_ms();
         self.tried.push(choice.member.hash.short());
         self.last = Some(choice.member.endpoint.clone());
@@ -172,7 +172,7 @@
             return;
         };
         record.says_leaving = answer.is_leaving;
-        if let AskedBackoff::ForMs(asked_ms) = answer.backoff {
+        if let RequestedBackoff::ForMs(asked_ms) = answer.backoff {
             record.backoff_ms = Some(asked_ms);
         }
     }
@@ -183,14 +183,16 @@
         let end = broken.end;
         if let Some(endpoint) = &self.last {
             let request = self.call.fingerprint;
-            self.shared.attempt_broke(request, endpoint, broken).await;
+            self.shared
+                .record_broken_attempt(request, endpoint, broken)
+                .await;
         }
         if let Some(record) = self.attempts.last_mut() {
             record.end = Some(end);
         }
         self.suspect(end);
         if end.is_failure() {
-            self.count_answer(AnswerSeen::Failed);
+            self.count_answer(ObservedResponse::Failed);
         }
         if end == AttemptOutcome::NotTheEndpoint {
             self.endpoint_is_gone();
@@ -216,7 +218,7 @@
     pub(crate) fn answer_began(&self, after: Duration) {
         let holds_prefix = self.attempts.last().is_some_and(|last| last.holds_prefix);
         let has_none = self.call.shared_parts.is_empty();
-        self.count_answer(AnswerSeen::Began {
+        self.count_answer(ObservedResponse::Began {
             first_byte_ms: milliseconds(after),
             holds_prefix: holds_prefix || has_none,
         });
@@ -226,11 +228,11 @@
     /// a call.
     pub(crate) fn answer_ended(&self, pace: Option<Duration>) {
         let pace_ms = pace.map(milliseconds);
-        self.count_answer(AnswerSeen::Ended { pace_ms });
+        self.count_answer(ObservedResponse::Ended { pace_ms });
     }
 
     /// Counts what came of the last attempt, for a rollout of its pool.
-    fn count_answer(&self, seen: AnswerSeen) {
+    fn count_answer(&self, seen: ObservedResponse) {
         let (Some(endpoint), Some(attempt)) = (&self.last, self.attempts.last()) else {
             return;
         };
@@ -240,8 +242,10 @@
         }
         // A cold endpoint is slow whatever it runs.
         let seen = match seen {
-            AnswerSeen::Began { .. } if attempt.is_cold => return,
-            AnswerSeen::Ended { .. } if attempt.is_cold => AnswerSeen::Ended { pace_ms: None },
+            ObservedResponse::Began { .. } if attempt.is_cold => return,
+            ObservedResponse::Ended { .. } if attempt.is_cold => {
+                ObservedResponse::Ended { pace_ms: None }
+            }
             seen => seen,
         };
         let Call { pool, route, .. } = &*self.call;
@@ -261,7 +265,7 @@
             return false;
         }
         let hosts = hosts(&fleet, now_ms);
-        fleet.budget(&self.call.pool).has_left(now_ms, hosts)
+        fleet.budget(&self.call.pool).has_remaining(now_ms, hosts)
     }
 
     /// No time is left.
@@ -305,7 +309,7 @@
     fn pool_has_room(&self) -> bool {
         let now_ms = self.shared.clock.now_ms();
         let occupancy = self.shared.fleet().occupancy(&self.call.pool, now_ms);
-        occupancy.in_progress < occupancy.places
+        occupancy.in_progress < occupancy.slots
     }
 
     /// The refusal where every endpoint of the pool asked to be sent nothing: callers
@@ -316,7 +320,7 @@
         let left_ms = self
             .shared
             .fleet()
-            .backs_off_for_ms(&self.call.pool, now_ms)?;
+            .backoff_remaining_ms(&self.call.pool, now_ms)?;
         let detail = format!("all endpoints asked for time; the first is back in {left_ms} ms");
         Some(Refusal {
             retry_after_ms: Some(left_ms + rand::rng().random_range(SPREAD_MS)),
@@ -375,7 +379,7 @@
         let now_ms = self.shared.clock.now_ms();
         let mut fleet = self.shared.fleet();
         let hosts = hosts(&fleet, now_ms);
-        fleet.budget(&self.call.pool).take(now_ms, hosts)
+        fleet.budget(&self.call.pool).try_spend(now_ms, hosts)
     }
 }
 
@@ -387,5 +391,5 @@
 
 /// How many hosts share the slack of the retry budget.
 fn hosts(fleet: &Fleet, now_ms: u64) -> usize {
-    1 + fleet.load.hosts_heard(now_ms)
+    1 + fleet.load.recent_host_count(now_ms)
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -16,14 +16,14 @@
 use tokio::time::Instant;
 
 use crate::access_log::{Completion, record, record_leaving};
-use crate::answer::{BrokenOff, Events};
+use crate::answer::{AnswerAborted, Events};
 use crate::attempt::{AttemptResponse, OpenStream};
 use crate::call::Call;
 use crate::dispatch::dispatch;
 use crate::event_log::Event;
 use crate::poison::BrokenAttempt;
 use crate::progress::Progress;
-use crate::shared::{Running, Shared};
+use crate::shared::{RunningGuard, Shared};
 
 /// Silence in a stream after which its endpoint is looked at.
 const HEALTH_RECHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -64,7 +64,7 @@
     was_unread: bool,
     status: u16,
     is_over: bool,
-    _running: Running,
+    _running: RunningGuard,
 }
 
 impl Relay {
@@ -72,7 +72,7 @@
         shared: Arc<Shared>,
         progress: Progress,
         stream: Box<OpenStream>,
-        running: Running,
+        running: RunningGuard,
     ) -> Self {
         let call = progress.call().clone();
         Self {
@@ -106,7 +106,7 @@
         }))
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, AnswerAborted>> {
         self.was_unread |= self.passed_at.elapsed() >= UNREAD;
         while !self.is_over {
             match self.arrived().await {
@@ -117,7 +117,7 @@
                         return Some(Ok(bytes));
                     }
                 }
-                Arrived::End if self.frames.rest().is_empty() => {
+                Arrived::End if self.frames.remaining().is_empty() => {
                     self.complete();
                     return None;
                 }
@@ -152,7 +152,10 @@
                     self.pieces += 1;
                     if let Ok(bytes) = frame.into_data() {
                         let now_ms = self.shared.clock.now_ms();
-                        self.shared.fleet().health(stream.short).heard(now_ms);
+                        self.shared
+                            .fleet()
+                            .health(stream.short)
+                            .record_received(now_ms);
                         return Arrived::Bytes(bytes);
                     }
                 }
@@ -193,7 +196,7 @@
             return false;
         };
         drop(lost);
-        let _partial_event = self.frames.take_rest();
+        let _partial_event = self.frames.take_remaining();
         self.pieces = 0;
         let ran = self.began_at.take().map(|began_at| began_at.elapsed());
         let end = if std::mem::take(&mut self.was_unread) {
@@ -231,7 +234,7 @@
         let Some(stream) = self.stream.take() else {
             return;
         };
-        self.shared.ran_well(self.call.fingerprint);
+        self.shared.record_completed_run(self.call.fingerprint);
         self.progress.answer_ended(self.pace());
         let now_ms = self.shared.clock.now_ms();
         self.shared
@@ -246,7 +249,7 @@
         if !answer.closes {
             self.shared
                 .upstream
-                .keep(short, connection, answer.keep_alive_s);
+                .check_in(short, connection, answer.keep_alive_s);
         }
         self.record_completion(Completion::answered(self.status));
     }
@@ -259,7 +262,7 @@
         has_pace.then(|| ran / (self.pieces - 1))
     }
 
-    fn break_off(&mut self, reason: Reason) -> Result<Bytes, BrokenOff> {
+    fn break_off(&mut self, reason: Reason) -> Result<Bytes, AnswerAborted> {
         self.is_over = true;
         self.stream = None;
         self.record_completion(Completion {
@@ -268,7 +271,7 @@
             reason: Some(reason),
             detail: String::new(),
         });
-        Err(BrokenOff)
+        Err(AnswerAborted)
     }
 
     fn record_completion(&mut self, ending: Completion) {
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -13,14 +13,14 @@
 
 use chalkrock_core::PoolId;
 use chalkrock_routing::{
-    Decision, Judgement, RolloutOrderRow, RolloutOrders, RolloutReason, RolloutRecord,
-    RolloutStage, RolloutView, Rollouts, StoreVersion, judge, next_stage,
+    BuildAssessment, RolloutOrderRow, RolloutOrders, RolloutReason, RolloutRecord, RolloutStage,
+    RolloutView, Rollouts, StageTransition, StoreVersion, assess_build, next_stage,
 };
 use tokio::time::Instant;
 
 use crate::event_log::Event;
 use crate::outage_log::OutageLog;
-use crate::peers::Membership;
+use crate::peers::PeerTable;
 use crate::shared::Shared;
 use crate::source::{RolloutWrite, Source};
 
@@ -47,28 +47,28 @@
 
 impl Shared {
     /// Takes orders that were read whole or passed on. Returns whether they are news.
-    pub(crate) fn take_rollout_orders(&self, orders: &RolloutOrders, from: &str) -> bool {
+    pub(crate) fn merge_rollout_orders(&self, orders: &RolloutOrders, from: &str) -> bool {
         self.change_orders(from, |rollouts, draw, now_ms| {
-            rollouts.take_orders(orders, draw, now_ms)
+            rollouts.merge_orders(orders, draw, now_ms)
         })
     }
 
     /// Takes orders as they were read whole. Returns whether they are news.
-    pub(crate) fn read_rollout_orders(&self, orders: RolloutOrders, from: &str) -> bool {
+    pub(crate) fn replace_rollout_orders(&self, orders: RolloutOrders, from: &str) -> bool {
         self.change_orders(from, |rollouts, draw, now_ms| {
-            rollouts.read_orders(orders, draw, now_ms)
+            rollouts.replace_orders(orders, draw, now_ms)
         })
     }
 
     /// Takes the orders of a part of the store's history.
-    pub(crate) fn follow_rollout_orders(
+    pub(crate) fn apply_rollout_order_changes(
         &self,
         rows: &[RolloutOrderRow],
         until: StoreVersion,
         from: &str,
     ) -> bool {
         self.change_orders(from, |rollouts, draw, now_ms| {
-            rollouts.follow(rows, until, draw, now_ms)
+            rollouts.apply_order_changes(rows, until, draw, now_ms)
         })
     }
 
@@ -105,10 +105,10 @@
     }
 
     /// Takes a record that was written, found or passed on. Returns whether it is news.
-    pub(crate) fn take_rollout_record(
+    pub(crate) fn merge_rollout_record(
         &self,
         known: KnownRecord,
-        judgement: Option<&Judgement>,
+        assessment: Option<&BuildAssessment>,
         from: &str,
     ) -> bool {
         let KnownRecord {
@@ -119,10 +119,10 @@
         let now_ms = self.clock.now_ms();
         let mut fleet = self.fleet();
         let rollouts = &mut fleet.rollouts;
-        let is_news = rollouts.take_record(&pool, record.clone(), version, now_ms);
+        let is_news = rollouts.merge_record(&pool, record.clone(), version, now_ms);
         drop(fleet);
         if is_news {
-            self.log_rollout(&pool, &record, version, judgement, from);
+            self.log_rollout(&pool, &record, version, assessment, from);
         }
         is_news
     }
@@ -132,7 +132,7 @@
         pool: &PoolId,
         record: &RolloutRecord,
         version: StoreVersion,
-        evidence: Option<&Judgement>,
+        evidence: Option<&BuildAssessment>,
         from: &str,
     ) {
         self.event_log.emit(&Event::Rollout {
@@ -151,10 +151,10 @@
 }
 
 /// Carries out rollouts until the process ends.
-pub(crate) async fn keep_rollouts<S: Source>(
+pub(crate) async fn drive_rollouts<S: Source>(
     shared: Arc<Shared>,
     source: Arc<S>,
-    peers: Arc<Membership>,
+    peers: Arc<PeerTable>,
 ) {
     let mut writer = RolloutWriter {
         shared,
@@ -173,10 +173,10 @@
 struct RolloutWriter<S> {
     shared: Arc<Shared>,
     source: Arc<S>,
-    peers: Arc<Membership>,
+    peers: Arc<PeerTable>,
     started_at: Instant,
     /// What is to be written, and since when.
-    due_since: HashMap<PoolId, (Decision, Instant)>,
+    due_since: HashMap<PoolId, (StageTransition, Instant)>,
     outage: OutageLog,
 }
 
@@ -195,7 +195,7 @@
 
     /// Writes the next stage of a pool's rollout, if it is due and for this host to do.
     async fn go_on(&mut self, pool: &PoolId) {
-        self.shared.notice_pause();
+        self.shared.detect_suspension();
         if !self.shared.has_view() {
             self.due_since.remove(pool);
             return;
@@ -213,12 +213,12 @@
             return;
         }
         if let Some((record, replaces)) = self.record(pool, decision, &view) {
-            self.write(pool, record, replaces, &view.judgement).await;
+            self.write(pool, record, replaces, &view.assessment).await;
         }
     }
 
     /// Whether those before this host had their time to write a decision.
-    fn is_this_hosts_turn(&mut self, pool: &PoolId, decision: Decision) -> bool {
+    fn is_this_hosts_turn(&mut self, pool: &PoolId, decision: StageTransition) -> bool {
         let now = Instant::now();
         let due = self
             .due_since
@@ -227,7 +227,7 @@
         if due.0 != decision {
             *due = (decision, now);
         }
-        let place = self.peers.writer_place();
+        let place = self.peers.writer_rank();
         place.is_some_and(|place| due.1.elapsed() >= PLACE_DELAY * place as u32)
     }
 
@@ -238,12 +238,12 @@
             self.due_since.remove(pool);
             return;
         };
-        let decision = Decision {
+        let decision = StageTransition {
             stage: record.stage,
             reason: record.reason,
         };
         if self.is_this_hosts_turn(pool, decision) {
-            let evidence = Judgement::default();
+            let evidence = BuildAssessment::default();
             self.write(pool, record, version, &evidence).await;
         }
     }
@@ -266,8 +266,8 @@
         }
         let (_, order) = fleet.rollouts.order(pool)?;
         let within_ms = order.within_ms;
-        let tally = fleet.rollouts.evidence(pool)?.sum();
-        let longest_stays_ms = fleet.longest_stays_ms(pool, now_ms);
+        let tally = fleet.rollouts.evidence(pool)?.combined_tally();
+        let max_service_times_ms = fleet.max_service_times_ms(pool, now_ms);
         let builds = fleet.pool_builds(pool);
         let age_ms = fleet.rollouts.age_ms(pool, now_ms);
         let record = fleet.rollouts.record(pool).map(|(record, _)| record);
@@ -283,18 +283,18 @@
             old_slots: builds.old_slots,
             in_progress: builds.old_in_progress + builds.new_in_progress,
             old_idle_ms,
-            longest_stays_ms,
-            judgement: judge(&tally),
+            max_service_times_ms,
+            assessment: assess_build(&tally),
         })
     }
 
     /// Whether this host knows what runs in the fleet, where a decision rests on it.
-    fn may_go_by_load(&self, decision: &Decision) -> bool {
+    fn may_go_by_load(&self, decision: &StageTransition) -> bool {
         if !matches!(decision.stage, RolloutStage::Moving | RolloutStage::Done) {
             return true;
         }
         let now_ms = self.shared.clock.now_ms();
-        let heard = 1 + self.shared.fleet().load.hosts_heard(now_ms);
+        let heard = 1 + self.shared.fleet().load.recent_host_count(now_ms);
         let recent = self.peers.recent().len();
         let hears_most = heard as f64 >= HEARD_PART * recent as f64;
         hears_most && self.started_at.elapsed() >= SETTLED_AFTER
@@ -305,7 +305,7 @@
         pool: &PoolId,
         record: RolloutRecord,
         replaces: StoreVersion,
-        evidence: &Judgement,
+        evidence: &BuildAssessment,
     ) {
         let written = self.source.write_rollout(pool, &record, replaces).await;
         self.due_since.remove(pool);
@@ -328,7 +328,7 @@
         pool: &PoolId,
         own: RolloutRecord,
         written: RolloutWrite,
-        judgement: &Judgement,
+        assessment: &BuildAssessment,
     ) {
         match written {
             RolloutWrite::Written(version) => {
@@ -338,13 +338,13 @@
                     version,
                 };
                 self.shared
-                    .take_rollout_record(known, Some(judgement), "own");
+                    .merge_rollout_record(known, Some(assessment), "own");
             }
             RolloutWrite::Conflict { version, record } => {
                 let now_ms = self.shared.clock.now_ms();
                 let mut fleet = self.shared.fleet();
                 let rollouts = &mut fleet.rollouts;
-                let is_news = rollouts.found_at_store(pool, record.clone(), version, now_ms);
+                let is_news = rollouts.record_stored(pool, record.clone(), version, now_ms);
                 drop(fleet);
                 if let Some(record) = record.filter(|_| is_news) {
                     self.shared
@@ -357,7 +357,7 @@
     fn record(
         &self,
         pool: &PoolId,
-        decision: Decision,
+        decision: StageTransition,
         view: &RolloutView,
     ) -> Option<(RolloutRecord, StoreVersion)> {
         let now_ms = self.shared.clock.now_ms();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -19,15 +19,15 @@
 use crate::front::accept;
 use crate::lag::measure_lag;
 use crate::outage_log::OutageLog;
-use crate::pause::refresh_after_pauses;
 use crate::peers::{
-    Membership, publish, pull_at_start, pull_when_behind, receive, serve_pulls, zone_hash,
+    PeerTable, publish, pull_at_start, pull_when_outdated, receive, serve_pulls, zone_hash,
 };
-use crate::poison::keep_poison;
-use crate::rollouts::keep_rollouts;
+use crate::poison::sync_poison_records;
+use crate::rollouts::drive_rollouts;
 use crate::shared::Shared;
 use crate::source::{HostRow, Source, Topic};
 use crate::status::answer_status;
+use crate::suspension::refresh_after_suspensions;
 
 /// How often kept connections are looked through.
 const SWEEP_EVERY: Duration = Duration::from_secs(1);
@@ -97,7 +97,7 @@
     tasks.spawn(write_lines(lines));
     let shared = Shared::new(config, edge, event_log);
     // The first look at the clocks: a pause that begins before the next one shows.
-    shared.notice_pause();
+    shared.detect_suspension();
     let source = Arc::new(source);
     shared.event_log.emit(&Event::Start {
         version: env!("CARGO_PKG_VERSION"),
@@ -105,7 +105,7 @@
     for topic in [Topic::Rules, Topic::Endpoints] {
         tasks.spawn(follow(shared.clone(), source.clone(), topic));
     }
-    tasks.spawn(keep_poison(shared.clone(), source.clone()));
+    tasks.spawn(sync_poison_records(shared.clone(), source.clone()));
     let peer = start_peers(&mut tasks, &shared, &source).await?;
     let mut status = Vec::new();
     let asked = [shared.config.ready_listen, shared.config.metrics_listen];
@@ -197,16 +197,16 @@
     let socket = Arc::new(socket);
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let incarnation = since_epoch.map_or(0, |since| since.as_micros() as u64);
-    let peers = Membership::new(own, &shared.config, incarnation);
+    let peers = PeerTable::new(own, &shared.config, incarnation);
     let seeds = shared.config.peer_seeds.iter();
     peers.add(seeds.map(|address| (*address, None)));
     tasks.spawn(publish(shared.clone(), peers.clone(), socket.clone()));
     tasks.spawn(receive(shared.clone(), peers.clone(), socket));
     tasks.spawn(serve_pulls(shared.clone(), peers.clone(), listener));
     tasks.spawn(pull_at_start(shared.clone(), peers.clone()));
-    tasks.spawn(pull_when_behind(shared.clone(), peers.clone()));
-    tasks.spawn(refresh_after_pauses(shared.clone(), peers.clone()));
-    let rollouts = keep_rollouts(shared.clone(), source.clone(), peers.clone());
+    tasks.spawn(pull_when_outdated(shared.clone(), peers.clone()));
+    tasks.spawn(refresh_after_suspensions(shared.clone(), peers.clone()));
+    let rollouts = drive_rollouts(shared.clone(), source.clone(), peers.clone());
     tasks.spawn(rollouts);
     let row = HostRow {
         host: shared.config.host.clone(),
@@ -226,7 +226,7 @@
     shared: Arc<Shared>,
     source: Arc<S>,
     own: HostRow,
-    peers: Arc<Membership>,
+    peers: Arc<PeerTable>,
 ) {
     let has_seeds = shared
         .config
@@ -239,7 +239,7 @@
             .is_ok()
     {
         tokio::time::sleep(SETTLED_AFTER).await;
-        shared.subscription.turn().await;
+        shared.subscription.wait_until_subscriber().await;
     }
     loop {
         join(&shared, source.clone(), own.clone(), peers.clone()).await;
@@ -248,14 +248,14 @@
     }
 }
 
-async fn hears_any(peers: &Membership) {
+async fn hears_any(peers: &PeerTable) {
     while peers.any().is_none() {
         tokio::time::sleep(LONELY_LOOK).await;
     }
 }
 
 /// Records the host and learns of the others, once.
-async fn join<S: Source>(shared: &Shared, source: Arc<S>, own: HostRow, peers: Arc<Membership>) {
+async fn join<S: Source>(shared: &Shared, source: Arc<S>, own: HostRow, peers: Arc<PeerTable>) {
     let mut outage = OutageLog::new("platform-hosts");
     loop {
         match source.join(&own).await {
@@ -291,7 +291,7 @@
 
 /// Takes the host through its stop.
 async fn end(shared: &Arc<Shared>) {
-    shared.ask_stop();
+    shared.request_stop();
     loop {
         shared.update_stop();
         if shared.stop_phase() == Some(DrainPhase::Ends) {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -13,21 +13,21 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio::time::Instant;
 
+use crate::active_rules::{ActiveRules, RulesUpdate};
 use crate::byte_budget::ByteBudget;
 use crate::call::Call;
 use crate::clock::{Clock, ms};
 use crate::config::GatewayConfig;
 use crate::edge::Edge;
-use crate::end_checks::EndChecks;
+use crate::end_checks::TerminationChecks;
 use crate::event_log::{Event, EventLog};
 use crate::fleet::Fleet;
-use crate::lag::Lag;
-use crate::passed_over::PassedOver;
-use crate::pause::Pauses;
+use crate::lag::SchedulerLag;
 use crate::poison::PoisonRecords;
-use crate::rules_in_force::{RulesInForce, RulesNews};
+use crate::skipped_rows::SkippedRows;
 use crate::source::Topic;
 use crate::subscription::{AnsweredHost, StoreSubscription};
+use crate::suspension::SuspensionMonitor;
 use crate::upstream::Upstream;
 
 /// Time within which a host that does not know rules and endpoints yet, or no longer,
@@ -46,22 +46,22 @@
     pub(crate) event_log: EventLog,
     pub(crate) metrics: Metrics,
     pub(crate) upstream: Upstream,
-    pub(crate) end_checks: EndChecks,
+    pub(crate) end_checks: TerminationChecks,
     pub(crate) poison_records: PoisonRecords,
-    pub(crate) passed_over: PassedOver,
-    pub(crate) pauses: Pauses,
+    pub(crate) skipped_rows: SkippedRows,
+    pub(crate) pauses: SuspensionMonitor,
     /// Some request is to be sent no further from now on.
     pub(crate) poison_found: Notify,
     /// The store came back from a copy: what this host wrote there may be gone.
     pub(crate) store_restored: Notify,
-    pub(crate) lag: Lag,
+    pub(crate) lag: SchedulerLag,
     /// Room for callers' bodies.
     pub(crate) bodies: ByteBudget,
     /// Room for endpoints' answers that are read whole.
     pub(crate) answers: ByteBudget,
     /// Places for callers' connections.
     pub(crate) connection_permits: Arc<Semaphore>,
-    pub(crate) rules: RulesInForce,
+    pub(crate) rules: ActiveRules,
     fleet: Mutex<Fleet>,
     largest_datagram_bytes: AtomicUsize,
     /// Requests that were read and have no whole answer yet.
@@ -96,17 +96,17 @@
             event_log,
             metrics: Metrics::default(),
             upstream: Upstream::default(),
-            end_checks: EndChecks::default(),
+            end_checks: TerminationChecks::default(),
             poison_records: PoisonRecords::default(),
-            passed_over: PassedOver::default(),
-            pauses: Pauses::default(),
+            skipped_rows: SkippedRows::default(),
+            pauses: SuspensionMonitor::default(),
             poison_found: Notify::new(),
             store_restored: Notify::new(),
-            lag: Lag::default(),
+            lag: SchedulerLag::default(),
             bodies,
             answers,
             connection_permits,
-            rules: RulesInForce::default(),
+            rules: ActiveRules::default(),
             fleet: Mutex::new(fleet),
             largest_datagram_bytes: AtomicUsize::new(0),
             running: AtomicUsize::new(0),
@@ -132,16 +132,16 @@
 
     /// Puts rules into force, unless newer ones are. Returns whether they are
     /// new.
-    pub(crate) fn take_rules(&self, document: RulesDocument, from: &str) -> bool {
-        let is_news = self.rules.take(document);
+    pub(crate) fn replace_rules(&self, document: RulesDocument, from: &str) -> bool {
+        let is_news = self.rules.replace(document);
         self.rules_offered(is_news, from);
         is_news
     }
 
     /// Puts rules into force that another host passed on, unless newer ones
     /// are. Returns whether they are new.
-    pub(crate) fn take_rules_news(&self, news: RulesNews, from: &str) -> bool {
-        let is_news = self.rules.take_news(news);
+    pub(crate) fn apply_rules_update(&self, news: RulesUpdate, from: &str) -> bool {
+        let is_news = self.rules.apply_update(news);
         self.rules_offered(is_news, from);
         is_news
     }
@@ -162,30 +162,30 @@
 
     /// Takes the zones that are evacuated, if they are known as of a later
     /// version. Returns whether that changes any.
-    pub(crate) fn take_evacuations(&self, evacuations: &Evacuations, from: &str) -> bool {
+    pub(crate) fn merge_evacuations(&self, evacuations: &Evacuations, from: &str) -> bool {
         let now_ms = self.clock.now_ms();
-        let change = self.fleet().take_evacuations(evacuations, now_ms);
+        let change = self.fleet().merge_evacuations(evacuations, now_ms);
         self.evacuations_changed(&change, from)
     }
 
     /// Takes the zones that are evacuated as they were read whole. Returns whether that
     /// changes any.
-    pub(crate) fn read_evacuations(&self, evacuations: Evacuations, from: &str) -> bool {
+    pub(crate) fn replace_evacuations(&self, evacuations: Evacuations, from: &str) -> bool {
         let now_ms = self.clock.now_ms();
-        let change = self.fleet().read_evacuations(evacuations, now_ms);
+        let change = self.fleet().replace_evacuations(evacuations, now_ms);
         self.evacuations_changed(&change, from)
     }
 
     /// Takes the evacuations of a part of the store's history. Returns whether
     /// they change any.
-    pub(crate) fn follow_evacuations(
+    pub(crate) fn apply_evacuation_changes(
         &self,
         rows: &[EvacuationRow],
         until: StoreVersion,
         from: &str,
     ) -> bool {
         let now_ms = self.clock.now_ms();
-        let change = self.fleet().follow_evacuations(rows, until, now_ms);
+        let change = self.fleet().apply_evacuation_changes(rows, until, now_ms);
         self.evacuations_changed(&change, from)
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// The list of endpoints was read.
-    pub(crate) fn endpoints_known(&self) {
+    pub(crate) fn record_endpoints_known(&self) {
         self.knows_endpoints.store(true, Ordering::Relaxed);
         self.update_view();
     }
@@ -235,18 +235,18 @@
     /// Lets a request wait for what it takes to serve it, for a while after that began
     /// to be missing. Looks whether the host stood still first.
     pub(crate) async fn wait_for_view(&self) {
-        self.notice_pause();
+        self.detect_suspension();
         if self.has_view() {
             return;
         }
         let since_ms = self.no_view_since_ms.load(Ordering::Relaxed);
         let missing_ms = self.clock.now_ms().saturating_sub(since_ms);
         let wait = ms(VIEW_WAIT_MS.saturating_sub(missing_ms));
-        let _known_or_refused_then = tokio::time::timeout(wait, self.view_known()).await;
+        let _known_or_refused_then = tokio::time::timeout(wait, self.wait_until_view_known()).await;
     }
 
     /// Waits until the host can serve.
-    pub(crate) async fn view_known(&self) {
+    pub(crate) async fn wait_until_view_known(&self) {
         let mut has_view = self.has_view.subscribe();
         let _never_closed = has_view.wait_for(|has_view| *has_view).await;
     }
@@ -257,9 +257,9 @@
     }
 
     /// The platform answered this host.
-    pub(crate) fn store_answered(&self, topic: Topic) {
-        self.subscription.answered(topic);
-        self.store_answered_any(AnsweredHost::Own, Some(0));
+    pub(crate) fn record_store_answer(&self, topic: Topic) {
+        self.subscription.record_answer(topic);
+        self.record_any_store_answer(AnsweredHost::Local, Some(0));
     }
 
     /// The platform answered a host of the fleet so long ago. Returns how long after it
@@ -268,15 +268,19 @@
     ///
     /// Looks whether this host stood still first: it heard of no answer then, and would
     /// keep endpoints that are gone.
-    pub(crate) fn store_answered_any(&self, whom: AnsweredHost, ago_ms: Option<u32>) -> Duration {
-        self.notice_pause();
-        let gained = self.subscription.was_answered(whom, ago_ms);
+    pub(crate) fn record_any_store_answer(
+        &self,
+        whom: AnsweredHost,
+        ago_ms: Option<u32>,
+    ) -> Duration {
+        self.detect_suspension();
+        let gained = self.subscription.record_peer_answer(whom, ago_ms);
         let times = &self.config.follow;
         if gained < ms(times.bound_ms) {
             return gained;
         }
         let now_ms = self.clock.now_ms();
-        self.fleet().store_is_back(now_ms, times.lapse_grace_ms);
+        self.fleet().store_recovered(now_ms, times.lapse_grace_ms);
         self.event_log.emit(&Event::StoreIsBack {
             away_ms: gained.as_millis() as u64,
             keeps_lapsed_ms: times.lapse_grace_ms,
@@ -286,7 +290,7 @@
 
     /// The store was read whole, in an era. If that is a later one than was known, it
     /// came back from a copy: what this host wrote there is written again.
-    pub(crate) fn store_read(&self, era: u64) {
+    pub(crate) fn record_full_read(&self, era: u64) {
         let mut fleet = self.fleet();
         let was_known = fleet.store_era.replace(era);
         let is_restored = was_known.is_some_and(|known| known < era);
@@ -315,7 +319,7 @@
     }
 
     /// Whether the host has only just started.
-    pub(crate) fn is_new(&self) -> bool {
+    pub(crate) fn is_warming_up(&self) -> bool {
         self.clock.steady_ms() < NEW_UNTIL_MS
     }
 
@@ -330,7 +334,7 @@
     }
 
     /// A stop was asked for.
-    pub(crate) fn ask_stop(&self) {
+    pub(crate) fn request_stop(&self) {
         if self.stop_asked_at.set(Instant::now()).is_ok() {
             self.update_stop();
         }
@@ -364,7 +368,7 @@
     }
 
     /// Waits until a stop has come as far as `phase`.
-    pub(crate) async fn stop_reached(&self, phase: DrainPhase) {
+    pub(crate) async fn wait_for_stop_phase(&self, phase: DrainPhase) {
         let order = |phase: &DrainPhase| match phase {
             DrainPhase::TakesLast => 0,
             DrainPhase::Drains => 1,
@@ -384,16 +388,16 @@
     }
 
     /// Counts a request as running until the guard is dropped.
-    pub(crate) fn run(self: &Arc<Self>) -> Running {
+    pub(crate) fn run(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
-        Running(self.clone())
+        RunningGuard(self.clone())
     }
 }
 
 /// A request that has no whole answer yet.
-pub(crate) struct Running(Arc<Shared>);
+pub(crate) struct RunningGuard(Arc<Shared>);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::Relaxed);
     }
@@ -407,7 +411,7 @@
     endpoint: u32,
     since: Instant,
     /// It was never worked on, so that its stay says nothing of the pool.
-    was_turned_away: bool,
+    was_rejected: bool,
 }
 
 impl InFlightGuard {
@@ -419,13 +423,13 @@
             route: call.route.name.clone(),
             endpoint,
             since: Instant::now(),
-            was_turned_away: false,
+            was_rejected: false,
         }
     }
 
     /// The endpoint did not take the request in.
-    pub(crate) fn turned_away(mut self) {
-        self.was_turned_away = true;
+    pub(crate) fn mark_rejected(mut self) {
+        self.was_rejected = true;
     }
 }
 
@@ -433,21 +437,21 @@
     fn drop(&mut self) {
         let mut fleet = self.shared.fleet();
         fleet.load.end(self.endpoint);
-        if !self.was_turned_away {
-            let stayed_ms = self.since.elapsed().as_millis() as u64;
+        if !self.was_rejected {
+            let service_ms = self.since.elapsed().as_millis() as u64;
             let now_ms = self.shared.clock.now_ms();
-            fleet.record_service_time(&self.pool, &self.route, stayed_ms, now_ms);
+            fleet.record_service_time(&self.pool, &self.route, service_ms, now_ms);
         }
     }
 }
 
 /// An organisation's request, counted until this is dropped.
-pub(crate) struct OfOrganisation {
+pub(crate) struct OrganisationGuard {
     shared: Arc<Shared>,
     organisation: OrganisationId,
 }
 
-impl OfOrganisation {
+impl OrganisationGuard {
     pub(crate) fn begin(shared: &Arc<Shared>, organisation: &OrganisationId) -> Self {
         shared.fleet().shares.begin(organisation);
         Self {
@@ -457,7 +461,7 @@
     }
 }
 
-impl Drop for OfOrganisation {
+impl Drop for OrganisationGuard {
     fn drop(&mut self) {
         self.shared.fleet().shares.end(&self.organisation);
     }
@@ -469,8 +473,11 @@
         let now_ms = self.clock.now_ms();
         let mut fleet = self.fleet();
         let cold = fleet.take_newly_cold();
-        let left_ms =
-            |endpoint: &Endpoint| fleet.cold.left_ms(endpoint.start_hash().short(), now_ms);
+        let left_ms = |endpoint: &Endpoint| {
+            fleet
+                .cold
+                .remaining_ms(endpoint.start_hash().short(), now_ms)
+        };
         let longest_ms = cold.iter().map(left_ms).max();
         let leaving = fleet.endpoints.leaving().len();
         let live = fleet.endpoints.live_count();
--- a/crates/gateway/src/passed_over.rs
+++ b/crates/gateway/src/skipped_rows.rs
@@ -12,9 +12,9 @@
 
 /// Rows that were logged, with the field that was at fault.
 #[derive(Debug, Default)]
-pub(crate) struct PassedOver(Mutex<HashSet<(Arc<str>, Arc<str>)>>);
+pub(crate) struct SkippedRows(Mutex<HashSet<(Arc<str>, Arc<str>)>>);
 
-impl PassedOver {
+impl SkippedRows {
     /// Whether a row's fault was not logged before.
     fn is_news(&self, row: &UnreadableRow) -> bool {
         let mut logged = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -27,9 +27,9 @@
 
 impl Shared {
     /// A row can't be read and says nothing.
-    pub(crate) fn pass_over(&self, topic: Topic, row: &UnreadableRow) {
+    pub(crate) fn skip_row(&self, topic: Topic, row: &UnreadableRow) {
         self.metrics.count("rows_passed_over_total", "", 1);
-        if !self.passed_over.is_news(row) {
+        if !self.skipped_rows.is_news(row) {
             return;
         }
         self.event_log.emit(&Event::RowPassedOver {
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -114,7 +114,7 @@
 
 /// What was read of a topic.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct SourceUpdate {
     /// The place in history up to which this goes.
     pub version: StoreVersion,
     /// The rows, oldest change first.
@@ -157,7 +157,7 @@
         &self,
         topic: Topic,
         arrival: &Arrival,
-    ) -> impl Future<Output = Result<News, SourceError>> + Send;
+    ) -> impl Future<Output = Result<SourceUpdate, SourceError>> + Send;
 
     /// Waits for changes of a topic after a version, up to `wait_ms`, and
     /// records the bytes of the answer as they arrive.
@@ -167,7 +167,7 @@
         since: StoreVersion,
         wait_ms: u64,
         arrival: &Arrival,
-    ) -> impl Future<Output = Result<News, SourceError>> + Send;
+    ) -> impl Future<Output = Result<SourceUpdate, SourceError>> + Send;
 
     /// Records this host and returns all that are recorded. A record is kept
     /// under the host's address, so that whoever comes to the same address
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use chalkrock_routing::{FollowTimes, SubscriptionRole, doubting_part};
+use chalkrock_routing::{SubscriptionRole, SubscriptionTimings, stale_poll_fraction};
 use rand::RngExt;
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnsweredHost {
     /// This host.
-    Own,
+    Local,
     /// A host that told so itself.
-    Near,
+    SameZone,
     /// A host of another zone, as relays told.
-    Far,
+    RemoteZone,
 }
 
 /// When the platform last answered, by whom.
@@ -78,9 +78,9 @@
 impl AnsweredAt {
     fn of(&mut self, whom: AnsweredHost) -> &mut Option<Instant> {
         match whom {
-            AnsweredHost::Own => &mut self.own,
-            AnsweredHost::Near => &mut self.near,
-            AnsweredHost::Far => &mut self.far,
+            AnsweredHost::Local => &mut self.own,
+            AnsweredHost::SameZone => &mut self.near,
+            AnsweredHost::RemoteZone => &mut self.far,
         }
     }
 
@@ -94,22 +94,22 @@
 
 /// Why a topic is read now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Due {
+pub(crate) enum ReadReason {
     /// It is this host's to read.
-    Turn,
+    Subscriber,
     /// Others know what this host does not: the whole has to be read.
-    Again,
+    Reread,
     /// No host was answered for long.
-    Doubt,
+    StaleView,
 }
 
 /// This host as a reader.
 #[derive(Debug)]
 pub(crate) struct StoreSubscription {
     /// Whether it is this host's to read.
-    has_turn: watch::Sender<bool>,
+    is_subscriber: watch::Sender<bool>,
     /// Whether it would be where no one reads yet.
-    is_first_choice: watch::Sender<bool>,
+    is_preferred_subscriber: watch::Sender<bool>,
     /// Whether the hosts of the settings were asked for all they know.
     are_seeds_asked: watch::Sender<bool>,
     answered_at: watch::Sender<AnsweredAt>,
@@ -117,9 +117,9 @@
     /// Grows when this host finds that no host was answered for long.
     doubts: watch::Sender<u64>,
     /// Hosts that share the reading.
-    sharing: AtomicUsize,
+    subscriber_count: AtomicUsize,
     /// All hosts that are known.
-    hosts_known: AtomicUsize,
+    known_host_count: AtomicUsize,
     /// Whether this host tells other zones of its own.
     is_relay: AtomicBool,
     /// Whether readers of other zones come first.
@@ -138,14 +138,14 @@
             started: Instant::now(),
         };
         Self {
-            has_turn: watch::channel(true).0,
-            is_first_choice: watch::channel(false).0,
+            is_subscriber: watch::channel(true).0,
+            is_preferred_subscriber: watch::channel(false).0,
             are_seeds_asked: watch::channel(false).0,
             answered_at: watch::channel(answered_at).0,
             own_pauses: Mutex::default(),
             doubts: watch::channel(0).0,
-            sharing: AtomicUsize::new(0),
-            hosts_known: AtomicUsize::new(1),
+            subscriber_count: AtomicUsize::new(0),
+            known_host_count: AtomicUsize::new(1),
             is_relay: AtomicBool::new(false),
             is_standby: AtomicBool::new(false),
             rules: OfTopic::default(),
@@ -163,79 +163,80 @@
     }
 
     /// Says whether it is this host's to read. Returns whether that changed.
-    pub(crate) fn set_turn(&self, has_turn: bool) -> bool {
-        self.has_turn.send_if_modified(|known| {
-            let is_news = *known != has_turn;
-            *known = has_turn;
+    pub(crate) fn set_subscriber(&self, is_subscriber: bool) -> bool {
+        self.is_subscriber.send_if_modified(|known| {
+            let is_news = *known != is_subscriber;
+            *known = is_subscriber;
             is_news
         })
     }
 
     /// Says whether it would be this host's to read where no one reads yet.
-    pub(crate) fn set_first_choice(&self, is_first_choice: bool) {
-        self.is_first_choice.send_replace(is_first_choice);
+    pub(crate) fn set_preferred(&self, is_preferred_subscriber: bool) {
+        self.is_preferred_subscriber
+            .send_replace(is_preferred_subscriber);
     }
 
     /// Waits until it would be this host's to read where no one reads yet.
-    pub(crate) async fn first_choice(&self) {
-        let mut is_first_choice = self.is_first_choice.subscribe();
-        let _never_closed = is_first_choice.wait_for(|is_first| *is_first).await;
+    pub(crate) async fn wait_until_preferred(&self) {
+        let mut is_preferred_subscriber = self.is_preferred_subscriber.subscribe();
+        let _never_closed = is_preferred_subscriber.wait_for(|is_first| *is_first).await;
     }
 
     /// The hosts of the settings were asked for all they know.
-    pub(crate) fn seeds_asked(&self) {
+    pub(crate) fn mark_seeds_queried(&self) {
         self.are_seeds_asked.send_replace(true);
     }
 
     /// Waits until the hosts of the settings were asked for all they know.
-    pub(crate) async fn after_seeds_asked(&self) {
+    pub(crate) async fn wait_until_seeds_queried(&self) {
         let mut are_asked = self.are_seeds_asked.subscribe();
         let _never_closed = are_asked.wait_for(|are_asked| *are_asked).await;
     }
 
     /// Waits until it is this host's turn to read.
-    pub(crate) async fn turn(&self) {
-        let mut has_turn = self.has_turn.subscribe();
-        let _never_closed = has_turn.wait_for(|has_turn| *has_turn).await;
+    pub(crate) async fn wait_until_subscriber(&self) {
+        let mut is_subscriber = self.is_subscriber.subscribe();
+        let _never_closed = is_subscriber.wait_for(|is_subscriber| *is_subscriber).await;
     }
 
     /// Waits until a topic should be read.
-    pub(crate) async fn due(&self, topic: Topic, times: &FollowTimes) -> Due {
-        let mut has_turn = self.has_turn.subscribe();
-        if *has_turn.borrow_and_update() {
-            return Due::Turn;
+    pub(crate) async fn next_read(&self, topic: Topic, times: &SubscriptionTimings) -> ReadReason {
+        let mut is_subscriber = self.is_subscriber.subscribe();
+        if *is_subscriber.borrow_and_update() {
+            return ReadReason::Subscriber;
         }
         tokio::select! {
-            _never_closed = has_turn.wait_for(|has_turn| *has_turn) => Due::Turn,
-            () = self.again(topic) => Due::Again,
-            () = self.stale(times) => Due::Doubt,
+            _never_closed = is_subscriber.wait_for(|is_subscriber| *is_subscriber) => ReadReason::Subscriber,
+            () = self.wait_for_reread(topic) => ReadReason::Reread,
+            () = self.wait_until_stale(times) => ReadReason::StaleView,
         }
     }
 
     /// Waits until the topic has to be read whole again.
-    pub(crate) async fn again(&self, topic: Topic) {
+    pub(crate) async fn wait_for_reread(&self, topic: Topic) {
         self.of(topic).again.notified().await;
     }
 
     /// All has to be read whole again: others know what this host does not.
-    pub(crate) fn read_again(&self) {
+    pub(crate) fn request_reread(&self) {
         self.rules.again.notify_one();
         self.endpoints.again.notify_one();
     }
 
     /// The platform answered this host.
-    pub(crate) fn answered(&self, topic: Topic) {
+    pub(crate) fn record_answer(&self, topic: Topic) {
         self.of(topic).is_answered.store(true, Ordering::Relaxed);
     }
 
     /// The platform did not answer.
-    pub(crate) fn not_answered(&self, topic: Topic) {
+    pub(crate) fn record_failure(&self, topic: Topic) {
         self.of(topic).is_answered.store(false, Ordering::Relaxed);
     }
 
     /// This host stood still for so long, of which the runtime's clock did not count
     /// some: all that is remembered is older by that.
-    pub(crate) fn stood_still(&self, length: Duration, uncounted: Duration) {
+    pub(crate) fn record_suspension(&self, length: Duration, uncounted: Duration) {
         self.age(uncounted);
         let mut own_pauses = self.own_pauses();
         own_pauses.age(uncounted);
@@ -261,9 +262,9 @@
     pub(crate) fn answered_ago_ms(&self, whom: AnsweredHost) -> Option<u32> {
         let answered_at = *self.answered_at.borrow();
         let at = match whom {
-            AnsweredHost::Own => answered_at.own,
-            AnsweredHost::Near => answered_at.own.max(answered_at.near),
-            AnsweredHost::Far => answered_at.far,
+            AnsweredHost::Local => answered_at.own,
+            AnsweredHost::SameZone => answered_at.own.max(answered_at.near),
+            AnsweredHost::RemoteZone => answered_at.far,
         };
         u32::try_from(at?.elapsed().as_millis()).ok()
     }
@@ -271,7 +272,7 @@
     /// The platform answered someone so long ago. Returns how long before that
     /// it last answered any host, but for the time in which this host could not hear of
     /// that; zero if this is no newer answer.
-    pub(crate) fn was_answered(&self, whom: AnsweredHost, ago_ms: Option<u32>) -> Duration {
+    pub(crate) fn record_peer_answer(&self, whom: AnsweredHost, ago_ms: Option<u32>) -> Duration {
         let ago = ago_ms.map(|ago_ms| ms(u64::from(ago_ms)));
         let Some(at) = ago.and_then(|ago| Instant::now().checked_sub(ago)) else {
             return Duration::ZERO;
@@ -291,8 +292,8 @@
 
     /// Whether this host, as a relay, should tell at once of an answer that
     /// came so long after the one before: other zones are about to doubt.
-    pub(crate) fn is_due_to_relay(&self, gained: Duration, times: &FollowTimes) -> bool {
-        self.is_relay() && gained >= ms(times.stale_after_ms / 2)
+    pub(crate) fn is_due_to_relay(&self, gained: Duration, times: &SubscriptionTimings) -> bool {
+        self.is_relay() && gained >= ms(times.staleness_timeout_ms / 2)
     }
 
     /// Whether this host tells other zones of its own.
@@ -306,7 +307,7 @@
     }
 
     /// Waits until the platform has answered any host since an instant.
-    pub(crate) async fn answered_after(&self, since: Instant) {
+    pub(crate) async fn wait_answered_after(&self, since: Instant) {
         let mut answered_at = self.answered_at.subscribe();
         let is_over = |answered_at: &AnsweredAt| answered_at.any() > since;
         let _never_closed = answered_at.wait_for(is_over).await;
@@ -315,8 +316,8 @@
     /// So many hosts share the reading, of so many in all; whether this one
     /// tells other zones of its own.
     pub(crate) fn set_round(&self, sharing: usize, hosts_known: usize, is_relay: bool) {
-        self.sharing.store(sharing, Ordering::Relaxed);
-        self.hosts_known.store(hosts_known, Ordering::Relaxed);
+        self.subscriber_count.store(sharing, Ordering::Relaxed);
+        self.known_host_count.store(hosts_known, Ordering::Relaxed);
         self.is_relay.store(is_relay, Ordering::Relaxed);
     }
 
@@ -331,36 +332,36 @@
     }
 
     /// Hosts that share the reading.
-    pub(crate) fn sharing(&self) -> usize {
-        self.sharing.load(Ordering::Relaxed)
+    pub(crate) fn subscriber_count(&self) -> usize {
+        self.subscriber_count.load(Ordering::Relaxed)
     }
 
     /// Whether this host is one of those that ask now that no host was answered
     /// for long.
-    fn asks_in_doubt(&self) -> bool {
-        let hosts = self.hosts_known.load(Ordering::Relaxed);
-        self.has_turn() || rand::random::<f64>() < doubting_part(hosts)
+    fn polls_while_stale(&self) -> bool {
+        let hosts = self.known_host_count.load(Ordering::Relaxed);
+        self.is_subscriber() || rand::random::<f64>() < stale_poll_fraction(hosts)
     }
 
     /// Waits until the platform has answered no host for so long that this
     /// one should ask whether it still does, on both topics: the first answer
     /// ends the doubt for all, and a wait for the other topic may be lost. In a
     /// large fleet each host draws, again and again, whether it asks.
-    pub(crate) async fn stale(&self, times: &FollowTimes) {
+    pub(crate) async fn wait_until_stale(&self, times: &SubscriptionTimings) {
         // Readers ask first: mostly one of them has ended the doubt before
         // the others ask.
-        let half_ms = times.stale_spread_ms / 2;
-        let first_ms = if self.has_turn() { 0 } else { half_ms };
+        let half_ms = times.staleness_jitter_ms / 2;
+        let first_ms = if self.is_subscriber() { 0 } else { half_ms };
         let delay_ms = first_ms + rand::rng().random_range(0..=half_ms);
-        let patience = ms(times.stale_after_ms + delay_ms);
-        let draw_again = ms(times.stale_spread_ms.max(1));
+        let patience = ms(times.staleness_timeout_ms + delay_ms);
+        let draw_again = ms(times.staleness_jitter_ms.max(1));
         let mut drawn_at = None;
         let mut doubts = self.doubts.subscribe();
         loop {
             let doubtful = self.answered_at.borrow().any() + patience;
             let due = doubtful.max(drawn_at.map_or(doubtful, |at| at + draw_again));
             if Instant::now() >= due {
-                if self.asks_in_doubt() {
+                if self.polls_while_stale() {
                     self.doubts.send_modify(|doubts| *doubts += 1);
                     return;
                 }
@@ -376,7 +377,7 @@
 
     /// How this host stands to the platform, as told to others.
     pub(crate) fn role(&self) -> SubscriptionRole {
-        if !*self.has_turn.borrow() {
+        if !*self.is_subscriber.borrow() {
             return SubscriptionRole::No;
         }
         let is_answered = |of: &OfTopic| of.is_answered.load(Ordering::Relaxed);
@@ -388,7 +389,7 @@
     }
 
     /// Whether it is this host's to read.
-    pub(crate) fn has_turn(&self) -> bool {
-        *self.has_turn.borrow()
+    pub(crate) fn is_subscriber(&self) -> bool {
+        *self.is_subscriber.borrow()
     }
 }
