--- a/crates/gateway/src/pause.rs
+++ b/crates/gateway/src/suspension.rs
@@ -10,13 +10,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use chalkrock_routing::{ClockReading, Pause, pause_between};
+use chalkrock_routing::{ClockReading, Suspension, detect_suspension};
 use tokio::sync::watch;
 
 use crate::clock::ms;
 use crate::event_log::Event;
 use crate::lag::TICK;
-use crate::peers::{Membership, catch_up_with_any};
+use crate::peers::{PeerTable, catch_up_with_any};
 use crate::shared::Shared;
 use crate::source::Topic;
 
@@ -45,15 +45,15 @@
 
 /// The last look at the clocks, and what followed from pauses.
 #[derive(Debug, Default)]
-pub(crate) struct Pauses {
+pub(crate) struct SuspensionMonitor {
     /// `None` before the first one.
     last: Mutex<Option<ClockReading>>,
     stale: watch::Sender<Stale>,
     /// Pauses that were noticed and not dealt with.
-    noticed: watch::Sender<Vec<Pause>>,
+    noticed: watch::Sender<Vec<Suspension>>,
 }
 
-impl Pauses {
+impl SuspensionMonitor {
     /// Whether what is known may be used.
     pub(crate) fn is_fresh(&self) -> bool {
         *self.stale.borrow() == Stale::default()
@@ -63,7 +63,7 @@
 impl Shared {
     /// Looks at the clocks. Called in each interval of [`TICK`] at least, and before
     /// anything is sent by what is believed.
-    pub(crate) fn notice_pause(&self) {
+    pub(crate) fn detect_suspension(&self) {
         let now = self.read_clocks();
         let mut last = self
             .pauses
@@ -75,7 +75,7 @@
         let Some(before) = before else {
             return;
         };
-        if let Some(pause) = pause_between(before, now, TICK.as_millis() as u64) {
+        if let Some(pause) = detect_suspension(before, now, TICK.as_millis() as u64) {
             self.paused(pause);
         }
     }
@@ -90,17 +90,17 @@
         }
     }
 
-    fn paused(&self, pause: Pause) {
+    fn paused(&self, pause: Suspension) {
         self.clock.add_uncounted(pause.uncounted_ms);
         self.subscription
-            .stood_still(ms(pause.length_ms), ms(pause.uncounted_ms));
+            .record_suspension(ms(pause.duration_ms), ms(pause.uncounted_ms));
         self.upstream.close_kept();
         self.event_log.emit(&Event::Paused {
-            length_ms: pause.length_ms,
+            length_ms: pause.duration_ms,
             uncounted_ms: pause.uncounted_ms,
         });
         self.metrics.count("pauses_total", "", 1);
-        if pause.length_ms >= REFRESH_FROM_MS && self.has_view() {
+        if pause.duration_ms >= REFRESH_FROM_MS && self.has_view() {
             self.pauses.stale.send_replace(Stale {
                 rules: true,
                 endpoints: true,
@@ -137,7 +137,7 @@
 }
 
 /// Deals with pauses until the process ends.
-pub(crate) async fn refresh_after_pauses(shared: Arc<Shared>, peers: Arc<Membership>) {
+pub(crate) async fn refresh_after_suspensions(shared: Arc<Shared>, peers: Arc<PeerTable>) {
     let mut noticed = shared.pauses.noticed.subscribe();
     loop {
         drop(noticed.wait_for(|noticed| !noticed.is_empty()).await);
@@ -157,9 +157,9 @@
 
 /// Asks another host and, where this one reads it, the platform; whichever answers
 /// first is enough.
-async fn refresh(shared: &Shared, peers: &Membership) {
-    if shared.subscription.has_turn() {
-        shared.subscription.read_again();
+async fn refresh(shared: &Shared, peers: &PeerTable) {
+    if shared.subscription.is_subscriber() {
+        shared.subscription.request_reread();
     }
     let mut stale = shared.pauses.stale.subscribe();
     tokio::select! {
@@ -169,12 +169,12 @@
 }
 
 /// Takes what is missing from a host that did not stand still itself.
-async fn refresh_from_peers(shared: &Shared, peers: &Membership) {
+async fn refresh_from_peers(shared: &Shared, peers: &PeerTable) {
     let mut asks_platform = true;
     while !catch_up_with_any(shared, peers).await {
         if std::mem::take(&mut asks_platform) {
             // No such host can be reached: the platform may be.
-            shared.subscription.read_again();
+            shared.subscription.request_reread();
         }
         tokio::time::sleep(ASK_PAUSE).await;
     }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -76,7 +76,7 @@
 impl Upstream {
     /// The connection to an endpoint that rested the shortest, if it may still
     /// be used.
-    pub(crate) fn take(&self, endpoint: u32, may_repeat: bool) -> Option<Connection> {
+    pub(crate) fn checkout(&self, endpoint: u32, may_repeat: bool) -> Option<Connection> {
         let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         let of_endpoint = kept.get_mut(&endpoint)?;
         while let Some(last) = of_endpoint.pop() {
@@ -94,7 +94,12 @@
     }
 
     /// Keeps a connection whose answer was read whole.
-    pub(crate) fn keep(&self, endpoint: u32, connection: Connection, keep_alive_s: Option<u64>) {
+    pub(crate) fn check_in(
+        &self,
+        endpoint: u32,
+        connection: Connection,
+        keep_alive_s: Option<u64>,
+    ) {
         let allowed = keep_alive_s.map(|s| Duration::from_secs(s).mul_f64(REST_PART));
         let kept = Kept {
             connection: Connection {
@@ -116,7 +121,7 @@
     /// its endpoint named no rest yet.
     pub(crate) fn give_back(&self, endpoint: u32, connection: Connection) {
         if connection.is_kept {
-            self.keep(endpoint, connection, None);
+            self.check_in(endpoint, connection, None);
         }
     }
 
--- a/crates/gateway/tests/gateway/crashes.rs
+++ b/crates/gateway/tests/gateway/crashes.rs
@@ -18,7 +18,7 @@
 /// Pause between two tries: long enough for hosts to have told each other.
 const PAUSE: Duration = Duration::from_millis(100);
 /// How many endpoints may end under one request.
-const CRASHES_MAX: usize = 3;
+const MAX_CRASHES: usize = 3;
 
 /// Endpoints of one pool, and hosts before them that know each other.
 struct CrashFleet {
@@ -76,8 +76,8 @@
             host.call(Call::post(path, DEADLY).id(&id)).await;
             tokio::time::sleep(PAUSE).await;
         }
-        assert_that!(fleet.arrivals_of(DEADLY), le(CRASHES_MAX), "{path}");
-        assert_that!(fleet.crashes(), le(CRASHES_MAX), "{path}");
+        assert_that!(fleet.arrivals_of(DEADLY), le(MAX_CRASHES), "{path}");
+        assert_that!(fleet.crashes(), le(MAX_CRASHES), "{path}");
         let call = Call::post(path, b"another").id("other");
         assert_that!(fleet.hosts[0].call(call).await.status, eq(200), "{path}");
     }
@@ -89,7 +89,7 @@
         let call = Call::post("/safe/", DEADLY).id(&format!("first-{number}"));
         fleet.hosts[0].call(call).await;
     }
-    assert_that!(fleet.crashes(), eq(CRASHES_MAX));
+    assert_that!(fleet.crashes(), eq(MAX_CRASHES));
 }
 
 /// Asks for the same once more. Returns the status; no endpoint may have had it.
@@ -216,7 +216,7 @@
     assert_that!(fleet.arrivals_of(DEADLY), eq(COPIES));
     // Each endpoint would have run its own by now.
     tokio::time::sleep(STEP * COPIES as u32).await;
-    assert_that!(fleet.crashes(), eq(CRASHES_MAX));
+    assert_that!(fleet.crashes(), eq(MAX_CRASHES));
     // Some ran: none is told that it did not.
     assert_that!(
         received.iter().all(|received| received.status == 502),
@@ -254,7 +254,7 @@
         let call = Call::post("/once/", DEADLY).id(&format!("again-{number}"));
         hosts[0].call(call).await;
     }
-    assert_that!(endpoint.arrivals_of(DEADLY), eq(CRASHES_MAX));
+    assert_that!(endpoint.arrivals_of(DEADLY), eq(MAX_CRASHES));
 }
 
 /// In a large fleet hosts report to relays, and those of two zones hear each other
--- a/crates/gateway/tests/gateway/support/edge.rs
+++ b/crates/gateway/tests/gateway/support/edge.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use chalkrock_core::RequestId;
-use chalkrock_gateway::{AnswerHead, AskedBackoff, CallHead, Edge, PrefixPart, Refusal, SendHead};
+use chalkrock_gateway::{
+    AnswerHead, CallHead, Edge, PrefixPart, Refusal, RequestedBackoff, SendHead,
+};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode, http};
 
@@ -68,9 +70,9 @@
             closes: head.headers.contains_key("connection"),
             is_leaving: head.headers.contains_key("leaving"),
             backoff: match text(&head.headers, "back-off-ms").map(str::parse) {
-                None => AskedBackoff::None,
-                Some(Ok(asked_ms)) => AskedBackoff::ForMs(asked_ms),
-                Some(Err(_)) => AskedBackoff::Unreadable("text".to_owned()),
+                None => RequestedBackoff::None,
+                Some(Ok(asked_ms)) => RequestedBackoff::ForMs(asked_ms),
+                Some(Err(_)) => RequestedBackoff::Unreadable("text".to_owned()),
             },
         }
     }
--- a/crates/gateway/tests/gateway/support/source.rs
+++ b/crates/gateway/tests/gateway/support/source.rs
@@ -6,8 +6,8 @@
 
 use chalkrock_core::{Endpoint, EndpointId, PoolId, ZoneId};
 use chalkrock_gateway::{
-    Arrival, EndpointChange, EndpointRow, HostRow, ListedEndpoint, News, PoisonRow, RolloutWrite,
-    Row, Source, SourceError, Topic, UnreadableRow,
+    Arrival, EndpointChange, EndpointRow, HostRow, ListedEndpoint, PoisonRow, RolloutWrite, Row,
+    Source, SourceError, SourceUpdate, Topic, UnreadableRow,
 };
 use chalkrock_routing::{
     EvacuationRow, RequestFingerprint, RolloutOrder, RolloutOrderRow, RolloutRecord, RolloutStage,
@@ -106,21 +106,21 @@
     pub(crate) fn come_back(&self, copy: Copied) {
         let mut state = self.lock();
         let era = StoreVersion(state.version).era() + 1;
-        let of_era = |version: u64| {
+        let in_era = |version: u64| {
             let number = StoreVersion(version).number();
-            StoreVersion::of_era(era, number).0
+            StoreVersion::in_era(era, number).0
         };
-        state.rules = copy.rules.map(|(version, rules)| (of_era(version), rules));
+        state.rules = copy.rules.map(|(version, rules)| (in_era(version), rules));
         let endpoints = copy.endpoints.into_iter();
         state.endpoints = endpoints
-            .map(|(version, name, row)| (of_era(version), name, row))
+            .map(|(version, name, row)| (in_era(version), name, row))
             .collect();
         let evacuations = copy.evacuations.into_iter();
         state.evacuations = evacuations
-            .map(|(version, zone, is_evacuated)| (of_era(version), zone, is_evacuated))
+            .map(|(version, zone, is_evacuated)| (in_era(version), zone, is_evacuated))
             .collect();
         state.poison = copy.poison;
-        state.version = of_era(copy.version);
+        state.version = in_era(copy.version);
         let version = state.version;
         drop(state);
         self.changed.send_replace(version);
@@ -199,7 +199,7 @@
     }
 
     /// Sends an answer on its way, if it holds rules.
-    async fn transfer(&self, news: News, arrival: &Arrival) -> News {
+    async fn transfer(&self, news: SourceUpdate, arrival: &Arrival) -> SourceUpdate {
         const STEP_MS: u64 = 10;
         const STEP_BYTES: usize = 1_000;
         let holds_rules = news.rows.iter().any(|row| matches!(row, Row::Rules(_)));
@@ -379,7 +379,7 @@
         Ok(state)
     }
 
-    fn rows(&self, topic: Topic, since: Option<u64>) -> Result<News, SourceError> {
+    fn rows(&self, topic: Topic, since: Option<u64>) -> Result<SourceUpdate, SourceError> {
         let state = self.answering()?;
         let era = StoreVersion(state.version).era();
         if since.is_some_and(|since| StoreVersion(since).era() != era) {
@@ -420,7 +420,7 @@
         let foreign = state.foreign.iter();
         let foreign = foreign.filter(|(of, row)| *of == topic && is_new(row.version.0));
         rows.extend(foreign.map(|(_, row)| Row::Unreadable(row.clone())));
-        Ok(News {
+        Ok(SourceUpdate {
             version: StoreVersion(state.version),
             rows,
         })
@@ -428,7 +428,7 @@
 }
 
 impl Source for TestSource {
-    async fn read(&self, topic: Topic, arrival: &Arrival) -> Result<News, SourceError> {
+    async fn read(&self, topic: Topic, arrival: &Arrival) -> Result<SourceUpdate, SourceError> {
         self.arrive().await;
         let news = self.rows(topic, None)?;
         Ok(self.transfer(news, arrival).await)
@@ -440,7 +440,7 @@
         since: StoreVersion,
         wait_ms: u64,
         arrival: &Arrival,
-    ) -> Result<News, SourceError> {
+    ) -> Result<SourceUpdate, SourceError> {
         let silences = self.arrive().await;
         if topic == Topic::Rules {
             let mut state = self.lock();
--- a/crates/measure/src/rollouts.rs
+++ b/crates/measure/src/rollouts.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 use chalkrock_routing::{
-    AnswerSeen, Decision, Exposure, ExposureBound, Judgement, Measure, MoveTimes, RolloutReason,
-    RolloutStage, RolloutView, Side, Tally, judge, next_stage,
+    BuildAssessment, BuildSide, Exposure, ExposureBound, Measure, MoveSchedule, ObservedResponse,
+    RolloutReason, RolloutStage, RolloutView, StageTransition, Tally, assess_build, next_stage,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -126,7 +126,7 @@
         self.routes.iter().map(|(per_s, ..)| per_s).sum()
     }
 
-    fn longest_stays_ms(&self) -> BTreeMap<Arc<str>, u64> {
+    fn max_service_times_ms(&self) -> BTreeMap<Arc<str>, u64> {
         let routes = self.routes.iter().enumerate();
         routes
             .map(|(i, (.., stay_ms))| (name(i), (stay_ms * LONGEST_STAYS) as u64))
@@ -181,7 +181,7 @@
     bad_part: f64,
     bad_from_ms: u64,
     /// Answers on their way to the host that decides, by when they are there.
-    word: VecDeque<(u64, usize, Side, AnswerSeen)>,
+    word: VecDeque<(u64, usize, BuildSide, ObservedResponse)>,
     tally: Tally,
     /// Requests that run at the old endpoints, by their end.
     old_ends: BTreeMap<u64, u32>,
@@ -291,10 +291,10 @@
         if self.judge_way == JudgeWay::FixedStages {
             return vec![now_ms; self.names.len()];
         }
-        let stays_ms = self.pool.longest_stays_ms();
+        let stays_ms = self.pool.max_service_times_ms();
         let of_route = |route: &Arc<str>| {
             let stay_ms = stays_ms.get(route).copied().unwrap_or_default();
-            MoveTimes::of(self.pool.within_ms, stay_ms).wanted_ms as u64
+            MoveSchedule::new(self.pool.within_ms, stay_ms).wanted_ms as u64
         };
         self.names.iter().map(of_route).collect()
     }
@@ -316,19 +316,19 @@
             played.requests += u32::from(is_in_time);
             let side = self.side(host, route, now_ms);
             let (failed, stay_ms) = self.answer(route, side, now_ms);
-            if side == Side::New {
+            if side == BuildSide::New {
                 played.exposed += u32::from(is_in_time);
             } else {
                 *self.old_ends.entry(now_ms + stay_ms).or_default() += 1;
             }
             let first_byte_ms = stay_ms as f64 * FIRST_BYTE_PART;
             let ended = if failed {
-                AnswerSeen::Failed
+                ObservedResponse::Failed
             } else {
                 let pace_ms = Some(stay_ms as f64);
-                AnswerSeen::Ended { pace_ms }
+                ObservedResponse::Ended { pace_ms }
             };
-            let began = AnswerSeen::Began {
+            let began = ObservedResponse::Began {
                 first_byte_ms,
                 holds_prefix: true,
             };
@@ -338,7 +338,7 @@
     }
 
     /// Word of an answer is on its way to the host that decides.
-    fn tell(&mut self, seen_ms: u64, route: usize, side: Side, seen: AnswerSeen) {
+    fn tell(&mut self, seen_ms: u64, route: usize, side: BuildSide, seen: ObservedResponse) {
         let at_ms = seen_ms + WORD_MS;
         let place = self.word.partition_point(|(known, ..)| *known <= at_ms);
         self.word.insert(place, (at_ms, route, side, seen));
@@ -363,7 +363,7 @@
         found.unwrap_or_default()
     }
 
-    fn side(&mut self, host: usize, route: usize, now_ms: u64) -> Side {
+    fn side(&mut self, host: usize, route: usize, now_ms: u64) -> BuildSide {
         let stage = self.known_stage(now_ms);
         let takes = match stage {
             RolloutStage::Canary if now_ms < STARTED_MS => false,
@@ -372,7 +372,7 @@
             }
             RolloutStage::Canary => match self.exposure_way {
                 ExposureWay::PartsOfHosts => {
-                    self.exposures[host].takes(&self.names[route], now_ms, self.pool.hosts)
+                    self.exposures[host].admits(&self.names[route], now_ms, self.pool.hosts)
                 }
                 ExposureWay::FewHosts => self.senders[host],
                 ExposureWay::Drawn => self.rng.random::<f64>() < self.exposures[host].share(),
@@ -382,7 +382,11 @@
             RolloutStage::Done => true,
             RolloutStage::RolledBack => false,
         };
-        if takes { Side::New } else { Side::Old }
+        if takes {
+            BuildSide::New
+        } else {
+            BuildSide::Old
+        }
     }
 
     /// Grants are renewed each 200 ms for an even part of what is expected.
@@ -400,9 +404,9 @@
     }
 
     /// Whether an answer fails, and how long it takes.
-    fn answer(&mut self, route: usize, side: Side, now_ms: u64) -> (bool, u64) {
+    fn answer(&mut self, route: usize, side: BuildSide, now_ms: u64) -> (bool, u64) {
         let (_, fails, stay_ms) = self.pool.routes[route];
-        let is_bad = side == Side::New
+        let is_bad = side == BuildSide::New
             && now_ms >= self.bad_from_ms
             && self.rng.random::<f64>() < self.bad_part
             && match self.fault {
@@ -426,13 +430,13 @@
             .is_some_and(|(at_ms, ..)| *at_ms <= now_ms)
         {
             if let Some((_, route, side, seen)) = self.word.pop_front() {
-                self.tally.count(&self.names[route], side, seen);
+                self.tally.record(&self.names[route], side, seen);
             }
         }
         self.old_ends = self.old_ends.split_off(&(now_ms + 1));
     }
 
-    fn decide(&mut self, now_ms: u64) -> Option<Decision> {
+    fn decide(&mut self, now_ms: u64) -> Option<StageTransition> {
         if self.stage.is_final() {
             return None;
         }
@@ -451,15 +455,15 @@
             old_slots: self.pool.endpoints * self.pool.slots,
             in_progress: old_in_progress,
             old_idle_ms: since_ms.map_or(0, |since_ms| now_ms - since_ms),
-            longest_stays_ms: self.pool.longest_stays_ms(),
-            judgement: self.judgement(),
+            max_service_times_ms: self.pool.max_service_times_ms(),
+            assessment: self.assessment(),
         };
         match self.judge_way {
             JudgeWay::FixedStages if self.stage == RolloutStage::Canary => {
-                let is_bad = view.judgement.is_bad();
-                let moves = MoveTimes::of(
+                let is_bad = view.assessment.is_bad();
+                let moves = MoveSchedule::new(
                     view.within_ms,
-                    view.longest_stays_ms
+                    view.max_service_times_ms
                         .values()
                         .copied()
                         .max()
@@ -474,17 +478,17 @@
                     return None;
                 };
                 let reason = RolloutReason::Sound;
-                Some(Decision { stage, reason })
+                Some(StageTransition { stage, reason })
             }
             _ => next_stage(&view),
         }
     }
 
-    fn judgement(&self) -> Judgement {
-        let judged = judge(&self.tally);
+    fn assessment(&self) -> BuildAssessment {
+        let judged = assess_build(&self.tally);
         match self.judge_way {
             JudgeWay::Sequential => judged,
-            JudgeWay::Threshold | JudgeWay::FixedStages => Judgement {
+            JudgeWay::Threshold | JudgeWay::FixedStages => BuildAssessment {
                 log_odds: if is_over_threshold(&judged) || is_slow(&judged) {
                     f64::INFINITY
                 } else {
@@ -507,7 +511,7 @@
     }
 }
 
-fn is_over_threshold(judged: &Judgement) -> bool {
+fn is_over_threshold(judged: &BuildAssessment) -> bool {
     const FAILURES_MIN: u32 = 3;
     const TIMES: f64 = 2.0;
     let rate = |failures: u32, answers: u32| f64::from(failures) / f64::from(answers.max(1));
@@ -517,7 +521,7 @@
 }
 
 /// Slow answers are told by the same test in all ways.
-fn is_slow(judged: &Judgement) -> bool {
+fn is_slow(judged: &BuildAssessment) -> bool {
     judged.is_bad() && judged.measure.is_some_and(Measure::is_time)
 }
 
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -44,10 +44,10 @@
 
 impl ServiceTimeEwma {
     /// A request left after so long.
-    pub fn record(&mut self, stayed_ms: u64) {
-        let stayed_ms = stayed_ms as f64;
-        let mean = self.0.get_or_insert(stayed_ms);
-        *mean += STAY_STEP * (stayed_ms - *mean);
+    pub fn record(&mut self, service_ms: u64) {
+        let service_ms = service_ms as f64;
+        let mean = self.0.get_or_insert(service_ms);
+        *mean += STAY_STEP * (service_ms - *mean);
     }
 
     /// The mean in milliseconds, 0 while none has left.
@@ -58,21 +58,21 @@
 
 /// The longest stay of late, in two spans of which the older one is dropped in turn.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LongestStay {
+pub struct MaxServiceTime {
     /// The number of the span that goes on.
     span: u64,
     now_ms: u64,
     before_ms: u64,
 }
 
-/// How long a span of [`LongestStay`] is.
+/// How long a span of [`MaxServiceTime`] is.
 const SPAN_MS: u64 = 30_000;
 
-impl LongestStay {
+impl MaxServiceTime {
     /// A request stayed so long.
-    pub fn record(&mut self, stayed_ms: u64, now_ms: u64) {
+    pub fn record(&mut self, service_ms: u64, now_ms: u64) {
         self.turn(now_ms);
-        self.now_ms = self.now_ms.max(stayed_ms);
+        self.now_ms = self.now_ms.max(service_ms);
     }
 
     /// The longest stay in the last 30 to 60 s, in milliseconds.
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolOccupancy {
     /// Requests that the endpoints which take work can work on at once.
-    pub places: u32,
+    pub slots: u32,
     /// Requests in progress on them, over the fleet.
     pub in_progress: u32,
     /// How long requests stay, in the mean.
@@ -109,10 +109,10 @@
 impl PoolOccupancy {
     /// How long a newcomer has to wait for a place.
     pub fn wait_ms(&self) -> f64 {
-        if self.in_progress <= self.places {
+        if self.in_progress <= self.slots {
             return 0.0;
         }
-        let served_first = f64::from(self.in_progress - self.places);
+        let served_first = f64::from(self.in_progress - self.slots);
         self.service_ms * served_first / f64::from(self.in_progress)
     }
 }
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -18,7 +18,7 @@
 
 use chalkrock_core::Endpoint;
 
-use crate::endpoints::Member;
+use crate::endpoints::PoolMember;
 
 /// The longest time that is believed, an hour: what asks for more may not mean it, and
 /// is asked again then.
@@ -80,7 +80,7 @@
 /// use chalkrock_core::{
 ///     BuildVersion, Endpoint, EndpointKind, HostState, Incarnation,
 /// };
-/// use chalkrock_routing::{Backoffs, Member};
+/// use chalkrock_routing::{Backoffs, PoolMember};
 ///
 /// let endpoint = Endpoint {
 ///     name: "engine-1".into(),
@@ -93,7 +93,7 @@
 ///     state: HostState::Live,
 ///     build: BuildVersion::default(),
 /// };
-/// let member = Member {
+/// let member = PoolMember {
 ///     hash: endpoint.start_hash(),
 ///     endpoint: Arc::new(endpoint),
 ///     is_evacuated: false,
@@ -111,9 +111,9 @@
 
 impl Backoffs {
     /// An endpoint wants nothing for so long; `draw`, from 0 up to 1, is this host's own.
-    pub fn asked(
+    pub fn record_request(
         &mut self,
-        member: &Member,
+        member: &PoolMember,
         asked_ms: u64,
         draw: f64,
         now_ms: u64,
@@ -156,7 +156,7 @@
     }
 
     /// For how much longer an endpoint is sent nothing, in milliseconds.
-    pub fn left_ms(&self, start: u32, now_ms: u64) -> u64 {
+    pub fn remaining_ms(&self, start: u32, now_ms: u64) -> u64 {
         let backoff = self.by_start.get(&start);
         backoff.map_or(0, |backoff| backoff.until_ms.saturating_sub(now_ms))
     }
@@ -175,7 +175,7 @@
     }
 
     /// A request is sent to an endpoint.
-    pub fn sent(&mut self, start: u32, now_ms: u64) {
+    pub fn record_sent(&mut self, start: u32, now_ms: u64) {
         let backoff = self.by_start.get_mut(&start);
         if let Some(backoff) = backoff.filter(|backoff| backoff.returns(now_ms)) {
             backoff.sent += 1;
@@ -183,7 +183,7 @@
     }
 
     /// An endpoint answered a request and did not turn it away.
-    pub fn answered(&mut self, start: u32, now_ms: u64) {
+    pub fn record_answered(&mut self, start: u32, now_ms: u64) {
         let backoff = self.by_start.get_mut(&start);
         if let Some(backoff) = backoff.filter(|backoff| backoff.returns(now_ms)) {
             backoff.is_answered = true;
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -59,14 +59,14 @@
     }
 
     /// A request is sent for the first time.
-    pub fn request(&mut self, now_ms: u64) {
+    pub fn record_request(&mut self, now_ms: u64) {
         self.step(now_ms).requests += 1;
     }
 
     /// Takes one retry, if there is one left. `hosts` is how many hosts share
     /// the slack, this one among them.
-    pub fn take(&mut self, now_ms: u64, hosts: usize) -> bool {
-        if !self.has_left(now_ms, hosts) {
+    pub fn try_spend(&mut self, now_ms: u64, hosts: usize) -> bool {
+        if !self.has_remaining(now_ms, hosts) {
             return false;
         }
         self.step(now_ms).retries += 1;
@@ -74,7 +74,7 @@
     }
 
     /// Whether a retry is left to take.
-    pub fn has_left(&mut self, now_ms: u64, hosts: usize) -> bool {
+    pub fn has_remaining(&mut self, now_ms: u64, hosts: usize) -> bool {
         let slack = USED * self.rules.slack / hosts.max(1) as f64;
         let ratio = USED * self.rules.ratio;
         self.step(now_ms);
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -28,8 +28,8 @@
 
 impl ColdBound {
     /// Most requests in one second to an endpoint that bears so many.
-    fn requests_a_second(&self, bears_per_s: f64) -> f64 {
-        self.overshoot * bears_per_s + self.slack
+    fn requests_a_second(&self, sustained_per_s: f64) -> f64 {
+        self.overshoot * sustained_per_s + self.slack
     }
 }
 
@@ -68,14 +68,14 @@
     /// assert_eq!(share.senders, 16);
     /// assert_eq!(share.per_s, 13.0 / 16.0);
     /// ```
-    pub fn of(bound: &ColdBound, bears_per_s: f64, hosts: usize) -> Self {
-        let most = bound.requests_a_second(bears_per_s);
+    pub fn new(bound: &ColdBound, sustained_per_s: f64, hosts: usize) -> Self {
+        let most = bound.requests_a_second(sustained_per_s);
         let share = |senders: usize| {
             let extra = 1 + senders / SENDERS_PER_EXTRA;
             let in_a_second = (most / (senders + extra) as f64).floor();
             Self {
                 senders,
-                per_s: in_a_second.min(bears_per_s / senders as f64),
+                per_s: in_a_second.min(sustained_per_s / senders as f64),
             }
         };
         let rate = |share: &Self| share.senders as f64 * share.per_s;
@@ -174,7 +174,7 @@
 
     /// An endpoint said for how much longer it is cold. Returns whether it was
     /// not known to be.
-    pub fn told(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) -> bool {
+    pub fn record_report(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) -> bool {
         if left_ms == 0 {
             if let Some(cold) = self.endpoints.get_mut(&endpoint) {
                 cold.told_until_ms = now_ms;
@@ -190,7 +190,7 @@
 
     /// An endpoint may be cold for so long, and may not have said so yet; one that
     /// did so of late is known.
-    pub fn doubt(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) {
+    pub fn presume_cold(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) {
         let known = self.endpoints.get(&endpoint);
         let has_told = known.is_some_and(|cold| cold.was_told_of_late(now_ms));
         if left_ms > 0 && !has_told {
@@ -201,11 +201,11 @@
 
     /// Whether an endpoint is treated as cold.
     pub fn is_cold(&self, endpoint: u32, now_ms: u64) -> bool {
-        self.left_ms(endpoint, now_ms) > 0
+        self.remaining_ms(endpoint, now_ms) > 0
     }
 
     /// For how much longer an endpoint is treated as cold.
-    pub fn left_ms(&self, endpoint: u32, now_ms: u64) -> u64 {
+    pub fn remaining_ms(&self, endpoint: u32, now_ms: u64) -> u64 {
         let cold = self.endpoints.get(&endpoint);
         cold.map_or(0, |cold| cold.until_ms().saturating_sub(now_ms))
     }
@@ -226,22 +226,28 @@
 
     /// Whether an endpoint is cold and bears only so many requests a second meanwhile
     /// (0 for any number), and operators bound what it is sent.
-    pub fn is_bounded(&self, endpoint: u32, bears_per_s: f64, now_ms: u64) -> bool {
-        self.bound.is_some() && bears_per_s > 0.0 && self.is_cold(endpoint, now_ms)
+    pub fn is_bounded(&self, endpoint: u32, sustained_per_s: f64, now_ms: u64) -> bool {
+        self.bound.is_some() && sustained_per_s > 0.0 && self.is_cold(endpoint, now_ms)
     }
 
     /// Whether this host may send a request to an endpoint now, which bears so
     /// many a second while it is cold (0 for one that bears any number);
-    /// `is_near`: of this host's zone.
-    pub fn may_send(&self, endpoint: u32, bears_per_s: f64, is_near: bool, now_ms: u64) -> bool {
-        let is_bounded = self.is_bounded(endpoint, bears_per_s, now_ms);
+    /// `is_same_zone`: of this host's zone.
+    pub fn may_send(
+        &self,
+        endpoint: u32,
+        sustained_per_s: f64,
+        is_same_zone: bool,
+        now_ms: u64,
+    ) -> bool {
+        let is_bounded = self.is_bounded(endpoint, sustained_per_s, now_ms);
         let cold = self.endpoints.get(&endpoint).filter(|_| is_bounded);
         let (Some(bound), Some(cold)) = (self.bound, cold) else {
             return true;
         };
         let hosts = self.hosts.len().max(self.hosts_at_least);
-        let share = ColdShare::of(&bound, bears_per_s, hosts);
-        if !is_near || !self.is_sender(endpoint, share.senders) {
+        let share = ColdShare::new(&bound, sustained_per_s, hosts);
+        if !is_same_zone || !self.is_sender(endpoint, share.senders) {
             return false;
         }
         let Some(gap_ms) = share.gap_ms() else {
@@ -251,7 +257,7 @@
     }
 
     /// A request goes to an endpoint.
-    pub fn sent(&mut self, endpoint: u32, now_ms: u64) {
+    pub fn record_sent(&mut self, endpoint: u32, now_ms: u64) {
         if let Some(cold) = self.endpoints.get_mut(&endpoint) {
             cold.sent_at_ms = Some(now_ms);
         }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -45,7 +45,7 @@
 
 /// An endpoint of a pool.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct PoolMember {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     /// The hash of its start, for ranks and for reports.
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    member: Member,
+    member: PoolMember,
     is_listed: bool,
     /// It was unlisted while entries that lapsed are kept.
     is_lapsed: bool,
@@ -78,12 +78,12 @@
         }
     }
 
-    fn takes_work(&self) -> bool {
+    fn accepts_work(&self) -> bool {
         matches!(self.state(), EndpointState::Live | EndpointState::Lapsed)
     }
 
     fn serves(&self) -> bool {
-        self.takes_work() || self.state() == EndpointState::Evacuated
+        self.accepts_work() || self.state() == EndpointState::Evacuated
     }
 
     fn unlist(&mut self, is_lapsed: bool, now_ms: u64) {
@@ -108,12 +108,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
     /// By name, so that pools need no sorting whenever one changes.
-    known: BTreeMap<EndpointId, Known>,
-    live: HashMap<PoolId, Arc<[Member]>>,
+    known_members: BTreeMap<EndpointId, Known>,
+    live: HashMap<PoolId, Arc<[PoolMember]>>,
     /// Those that take new work or would if their zones were not evacuated.
-    serving: HashMap<PoolId, Arc<[Member]>>,
+    serving: HashMap<PoolId, Arc<[PoolMember]>>,
     /// Those that are leaving and still listed.
-    parting: HashMap<PoolId, Arc<[Member]>>,
+    leaving_members: HashMap<PoolId, Arc<[PoolMember]>>,
     keeps_lapsed: bool,
     evacuated: BTreeSet<ZoneId>,
     /// Starts that said so themselves or to other hosts, by short hash.
@@ -132,7 +132,11 @@
     /// Takes the whole list: whoever is not on it is unlisted.
     pub fn replace(&mut self, endpoints: Vec<Endpoint>, now_ms: u64) {
         let keeps_lapsed = self.keeps_lapsed;
-        for known in self.known.values_mut().filter(|known| known.is_listed) {
+        for known in self
+            .known_members
+            .values_mut()
+            .filter(|known| known.is_listed)
+        {
             known.unlist(keeps_lapsed, now_ms);
         }
         for endpoint in endpoints {
@@ -145,7 +149,7 @@
     /// What an older list says of an endpoint, or the start that is known if it tells
     /// of a later one.
     pub fn later_start(&self, listed: Endpoint) -> Endpoint {
-        let known = self.known.get(&listed.name);
+        let known = self.known_members.get(&listed.name);
         let known = known.map(|known| &*known.member.endpoint);
         let later = known.filter(|known| known.incarnation > listed.incarnation);
         later.cloned().unwrap_or(listed)
@@ -159,7 +163,7 @@
 
     /// An endpoint is no longer listed.
     pub fn remove(&mut self, name: &EndpointId, now_ms: u64) {
-        if let Some(known) = self.known.get_mut(name) {
+        if let Some(known) = self.known_members.get_mut(name) {
             known.unlist(self.keeps_lapsed, now_ms);
         }
         self.forget_old(now_ms);
@@ -169,7 +173,7 @@
     /// An endpoint's entry no longer says what it is: it is not kept, also where
     /// entries that lapsed are.
     pub fn discard(&mut self, name: &EndpointId, now_ms: u64) {
-        if let Some(known) = self.known.get_mut(name) {
+        if let Some(known) = self.known_members.get_mut(name) {
             known.unlist(false, now_ms);
         }
         self.rebuild();
@@ -183,7 +187,7 @@
         if keeps_lapsed {
             return;
         }
-        for known in self.known.values_mut() {
+        for known in self.known_members.values_mut() {
             known.is_lapsed = false;
         }
         self.rebuild();
@@ -192,7 +196,7 @@
     /// Endpoints of these zones take no new work, and those of all others do.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneId>) {
         self.evacuated = zones;
-        for known in self.known.values_mut() {
+        for known in self.known_members.values_mut() {
             let member = &mut known.member;
             member.is_evacuated = self.evacuated.contains(&member.endpoint.zone);
         }
@@ -215,7 +219,7 @@
             self.leaving_starts.insert(*start, leaving);
         }
         let mut marked = Vec::new();
-        for known in self.known.values_mut() {
+        for known in self.known_members.values_mut() {
             let start = known.member.hash.short();
             let Some(leaving) = self.leaving_starts.get_mut(&start) else {
                 continue;
@@ -237,7 +241,7 @@
     /// Forgets starts that left long ago. Returns those that had an entry.
     pub fn expire_leaving(&mut self, now_ms: u64) -> Vec<Arc<Endpoint>> {
         let mut forgotten = Vec::new();
-        let known = &self.known;
+        let known = &self.known_members;
         self.leaving_starts.retain(|start, leaving| {
             let entry = leaving.endpoint.as_ref();
             let entry = entry.and_then(|endpoint| known.get(&endpoint.name));
@@ -252,51 +256,51 @@
     }
 
     /// The endpoints of a pool that may be given new work, by name.
-    pub fn live(&self, pool: &PoolId) -> Arc<[Member]> {
+    pub fn live(&self, pool: &PoolId) -> Arc<[PoolMember]> {
         self.live.get(pool).cloned().unwrap_or_default()
     }
 
     /// The endpoints of a pool that are neither leaving nor gone, by name: those
     /// that may be given new work, and those of evacuated zones.
-    pub fn serving(&self, pool: &PoolId) -> Arc<[Member]> {
+    pub fn serving(&self, pool: &PoolId) -> Arc<[PoolMember]> {
         self.serving.get(pool).cloned().unwrap_or_default()
     }
 
     /// The endpoints of a zone that are neither leaving nor gone.
-    pub fn serving_in(&self, zone: &ZoneId) -> impl Iterator<Item = &Member> {
+    pub fn serving_in(&self, zone: &ZoneId) -> impl Iterator<Item = &PoolMember> {
         let serving = self.serving.values().flat_map(|members| members.iter());
         serving.filter(move |member| member.endpoint.zone == *zone)
     }
 
     /// Whether a start of an endpoint may be given new work.
-    pub fn takes_work(&self, endpoint: &Endpoint) -> bool {
-        let known = self.known.get(&endpoint.name);
+    pub fn accepts_work(&self, endpoint: &Endpoint) -> bool {
+        let known = self.known_members.get(&endpoint.name);
         known.is_some_and(|known| {
             let is_same_start = known.member.endpoint.incarnation == endpoint.incarnation;
-            is_same_start && known.takes_work()
+            is_same_start && known.accepts_work()
         })
     }
 
     /// The endpoints of a pool that take no new work and are still there: what
     /// they hold in memory can be copied until they go.
-    pub fn parting(&self, pool: &PoolId) -> Arc<[Member]> {
-        self.parting.get(pool).cloned().unwrap_or_default()
+    pub fn leaving_members(&self, pool: &PoolId) -> Arc<[PoolMember]> {
+        self.leaving_members.get(pool).cloned().unwrap_or_default()
     }
 
     /// The endpoints that have not ended as far as is known, be they leaving or no
     /// longer listed.
-    pub fn known(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().map(|known| &known.member)
+    pub fn known_members(&self) -> impl Iterator<Item = &PoolMember> {
+        self.known_members.values().map(|known| &known.member)
     }
 
     /// Whether an endpoint may be given new work; `None` if it is not known.
     pub fn state(&self, name: &EndpointId) -> Option<EndpointState> {
-        self.known.get(name).map(Known::state)
+        self.known_members.get(name).map(Known::state)
     }
 
     /// Short hashes of the endpoints that are leaving and still listed, or may be again.
     pub fn leaving(&self) -> Vec<u32> {
-        let leaving = self.known.values().filter(|known| {
+        let leaving = self.known_members.values().filter(|known| {
             known.state() == EndpointState::Leaving && (known.is_listed || known.is_lapsed)
         });
         leaving.map(|known| known.member.hash.short()).collect()
@@ -313,8 +317,8 @@
     }
 
     /// The endpoints that are listed, to pass on.
-    pub fn listed(&self) -> impl Iterator<Item = &Member> {
-        let listed = self.known.values().filter(|known| known.is_listed);
+    pub fn listed(&self) -> impl Iterator<Item = &PoolMember> {
+        let listed = self.known_members.values().filter(|known| known.is_listed);
         listed.map(|known| &known.member)
     }
 
@@ -325,12 +329,12 @@
 
     /// Short hashes of the endpoints that are listed.
     pub fn listed_hashes(&self) -> HashSet<u32> {
-        let listed = self.known.values().filter(|known| known.is_listed);
+        let listed = self.known_members.values().filter(|known| known.is_listed);
         listed.map(|known| known.member.hash.short()).collect()
     }
 
     fn merge(&mut self, mut endpoint: Endpoint) {
-        let known = self.known.get(&endpoint.name);
+        let known = self.known_members.get(&endpoint.name);
         let known = known.map(|known| &*known.member.endpoint);
         if let Some(known) = known.filter(|known| known.incarnation == endpoint.incarnation) {
             endpoint.state = endpoint.state.max(known.state);
@@ -349,7 +353,7 @@
             leaving.endpoint = Some(endpoint.clone());
         }
         let known = Known {
-            member: Member {
+            member: PoolMember {
                 hash,
                 is_evacuated: self.evacuated.contains(&endpoint.zone),
                 endpoint,
@@ -358,29 +362,30 @@
             is_lapsed: false,
             unlisted_at_ms: 0,
         };
-        self.known.insert(known.member.endpoint.name.clone(), known);
+        self.known_members
+            .insert(known.member.endpoint.name.clone(), known);
     }
 
     fn forget_old(&mut self, now_ms: u64) {
-        self.known.retain(|_, known| {
+        self.known_members.retain(|_, known| {
             known.is_listed || now_ms.saturating_sub(known.unlisted_at_ms) < REMEMBERED_MS
         });
     }
 
     fn rebuild(&mut self) {
-        self.live = self.by_pool(Known::takes_work);
+        self.live = self.by_pool(Known::accepts_work);
         self.serving = if self.evacuated.is_empty() {
             self.live.clone()
         } else {
             self.by_pool(Known::serves)
         };
-        self.parting =
+        self.leaving_members =
             self.by_pool(|known| known.state() == EndpointState::Leaving && known.is_listed);
     }
 
-    fn by_pool(&self, belongs: impl Fn(&Known) -> bool) -> HashMap<PoolId, Arc<[Member]>> {
-        let mut pools: HashMap<PoolId, Vec<Member>> = HashMap::new();
-        for known in self.known.values().filter(|known| belongs(known)) {
+    fn by_pool(&self, belongs: impl Fn(&Known) -> bool) -> HashMap<PoolId, Arc<[PoolMember]>> {
+        let mut pools: HashMap<PoolId, Vec<PoolMember>> = HashMap::new();
+        for known in self.known_members.values().filter(|known| belongs(known)) {
             let pool = known.member.endpoint.pool.clone();
             pools.entry(pool).or_default().push(known.member.clone());
         }
--- a/crates/routing/src/evacuations.rs
+++ b/crates/routing/src/evacuations.rs
@@ -68,7 +68,7 @@
 
 impl Evacuations {
     /// The zones that the store names, as of a version.
-    pub fn as_of(version: StoreVersion, zones: impl IntoIterator<Item = ZoneId>) -> Self {
+    pub fn from_snapshot(version: StoreVersion, zones: impl IntoIterator<Item = ZoneId>) -> Self {
         Self {
             version,
             zones: zones.into_iter().collect(),
@@ -109,7 +109,7 @@
     /// Takes a state that was read whole. If it is the first of a later era, the store
     /// came back from a copy that may lack what operators wrote last: zones that were
     /// evacuated stay so until they write about them again.
-    pub fn read(&mut self, mut other: Evacuations) -> EvacuationChange {
+    pub fn replace(&mut self, mut other: Evacuations) -> EvacuationChange {
         if other.version.era() > self.version.era() {
             other.zones.extend(self.zones.iter().cloned());
         }
@@ -118,7 +118,11 @@
 
     /// Takes the rows of a part of the history, oldest first, that ends at
     /// `until` and begins no later than what is known. Returns what they change.
-    pub fn follow(&mut self, rows: &[EvacuationRow], until: StoreVersion) -> EvacuationChange {
+    pub fn apply_changes(
+        &mut self,
+        rows: &[EvacuationRow],
+        until: StoreVersion,
+    ) -> EvacuationChange {
         let mut next = self.clone();
         for row in rows.iter().filter(|row| row.version > self.version) {
             if row.is_evacuated {
--- a/crates/routing/src/event_frames.rs
+++ b/crates/routing/src/event_frames.rs
@@ -55,12 +55,12 @@
     }
 
     /// Bytes of an event that is not whole.
-    pub fn rest(&self) -> &[u8] {
+    pub fn remaining(&self) -> &[u8] {
         &self.buffer
     }
 
     /// Takes the bytes of an event that is not whole.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_remaining(&mut self) -> Bytes {
         self.searched = 0;
         let length = self.buffer.remaining();
         self.buffer.copy_to_bytes(length)
--- a/crates/routing/src/fleet_load.rs
+++ b/crates/routing/src/fleet_load.rs
@@ -15,9 +15,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet_totals::{FleetTotals, OwnReport};
+use crate::fleet_totals::{FleetTotals, ReportId};
 use crate::in_flight::{EndpointCount, InFlightCounters, REPORT_INTERVAL_MS, is_recent};
-use crate::zone_loads::{HashRange, SumPath, ZoneLoads, ZoneSum};
+use crate::zone_loads::{AggregatePath, HashRange, ZoneAggregate, ZoneLoads};
 
 /// What one host says of its own requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,11 +32,11 @@
 
 /// Whether a report was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// It is the newest of its host.
-    Taken,
+    Applied,
     /// It came late or twice, or from an earlier life.
-    Old,
+    Stale,
 }
 
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct FleetLoad<H> {
-    own: InFlightCounters,
+    local_in_progress: InFlightCounters,
     hosts: HashMap<H, Known>,
     /// What was told of other zones.
     zones: HashMap<u32, ZoneLoads<H>>,
@@ -70,18 +70,18 @@
     /// What relays of the own zone sum up of the whole fleet.
     totals: FleetTotals<H>,
     /// Whether these cover more hosts than this host hears by itself.
-    goes_by_totals: bool,
+    uses_fleet_aggregate: bool,
 }
 
 impl<H> Default for FleetLoad<H> {
     fn default() -> Self {
         Self {
-            own: InFlightCounters::default(),
+            local_in_progress: InFlightCounters::default(),
             hosts: HashMap::new(),
             zones: HashMap::new(),
             others: InFlightCounters::default(),
             totals: FleetTotals::default(),
-            goes_by_totals: false,
+            uses_fleet_aggregate: false,
         }
     }
 }
@@ -89,28 +89,29 @@
 impl<H: Clone + Eq + Hash + Ord> FleetLoad<H> {
     /// A request of this host begins on an endpoint.
     pub fn begin(&mut self, endpoint: u32) {
-        self.own.begin(endpoint);
+        self.local_in_progress.begin(endpoint);
     }
 
     /// A request of this host ends.
     pub fn end(&mut self, endpoint: u32) {
-        self.own.end(endpoint);
+        self.local_in_progress.end(endpoint);
     }
 
     /// Requests of this host on an endpoint.
-    pub fn own(&self, endpoint: u32) -> u32 {
-        self.own.of(endpoint)
+    pub fn local_in_progress(&self, endpoint: u32) -> u32 {
+        self.local_in_progress.of(endpoint)
     }
 
     /// Requests of the whole fleet on an endpoint.
-    pub fn of(&self, endpoint: u32) -> u32 {
-        self.own(endpoint).saturating_add(self.of_others(endpoint))
+    pub fn in_progress(&self, endpoint: u32) -> u32 {
+        self.local_in_progress(endpoint)
+            .saturating_add(self.remote_in_progress(endpoint))
     }
 
     /// Requests of the other hosts on an endpoint.
-    pub fn of_others(&self, endpoint: u32) -> u32 {
-        if self.goes_by_totals {
-            self.totals.of_others(endpoint)
+    pub fn remote_in_progress(&self, endpoint: u32) -> u32 {
+        if self.uses_fleet_aggregate {
+            self.totals.remote_in_progress(endpoint)
         } else {
             self.others.of(endpoint)
         }
@@ -120,7 +121,7 @@
     /// for each host that passes them on.
     pub fn report_age_ms(&self) -> f64 {
         const PASSED_ON_ZONES: f64 = 3.0;
-        let hops = if self.goes_by_totals || !self.zones.is_empty() {
+        let hops = if self.uses_fleet_aggregate || !self.zones.is_empty() {
             PASSED_ON_ZONES
         } else {
             1.0
@@ -129,18 +130,18 @@
     }
 
     /// All of this host's requests.
-    pub fn own_total(&self) -> u32 {
-        self.own.total()
+    pub fn local_total(&self) -> u32 {
+        self.local_in_progress.total()
     }
 
     /// All requests of the fleet.
     pub fn total(&self) -> u32 {
-        let others = if self.goes_by_totals {
+        let others = if self.uses_fleet_aggregate {
             self.totals.total_of_others()
         } else {
             self.others.total()
         };
-        self.own_total().saturating_add(others)
+        self.local_total().saturating_add(others)
     }
 
     /// This host's counts, to report under a number. They are remembered: a
@@ -149,7 +150,7 @@
         let report = HostReport {
             incarnation,
             sequence,
-            counts: self.own.counts(),
+            counts: self.local_in_progress.counts(),
         };
         self.totals.remember(&report);
         report
@@ -158,13 +159,13 @@
     /// Takes a host's report, if it is the newest of that host. Lives are told
     /// apart by a time of day, which may step back: a life that seems earlier
     /// is believed once the later one has fallen silent.
-    pub fn merge(&mut self, host: H, report: HostReport, now_ms: u64) -> Merged {
+    pub fn merge(&mut self, host: H, report: HostReport, now_ms: u64) -> MergeOutcome {
         let of = |report: &HostReport| (report.incarnation, report.sequence);
         if let Some(known) = self.hosts.get(&host)
             && is_recent(known.heard_at_ms, now_ms)
             && of(&known.report) >= of(&report)
         {
-            return Merged::Old;
+            return MergeOutcome::Stale;
         }
         self.others.add(&report.counts);
         let known = Known {
@@ -175,11 +176,17 @@
             self.others.remove(&earlier.report.counts);
         }
         self.choose_source();
-        Merged::Taken
+        MergeOutcome::Applied
     }
 
     /// Takes a zone's sum, or a part of it, from a relay.
-    pub fn merge_zone(&mut self, relay: H, part: ZoneSum, path: SumPath, now_ms: u64) {
+    pub fn merge_zone_aggregate(
+        &mut self,
+        relay: H,
+        part: ZoneAggregate,
+        path: AggregatePath,
+        now_ms: u64,
+    ) {
         let of_zone = self.zones.entry(part.zone).or_default();
         of_zone.merge(relay, &part, path, now_ms, &mut self.others);
         self.choose_source();
@@ -187,11 +194,11 @@
 
     /// Takes the sum of the whole fleet, or a part of it, from a relay of the
     /// own zone. `includes` is the report of this host that it includes, if any.
-    pub fn merge_totals(
+    pub fn merge_fleet_aggregate(
         &mut self,
         relay: H,
-        part: &ZoneSum,
-        includes: Option<OwnReport>,
+        part: &ZoneAggregate,
+        includes: Option<ReportId>,
         now_ms: u64,
     ) {
         self.totals.merge(relay, part, includes, now_ms);
@@ -201,10 +208,10 @@
     /// The sum of the whole fleet as this host hears it by itself, for the
     /// hosts of its zone. What relays summed up is no part of it, or they would
     /// keep each other's word alive.
-    pub fn fleet_sum(&self, zone: u32) -> ZoneSum {
-        let mut totals = self.own.clone();
+    pub fn fleet_aggregate(&self, zone: u32) -> ZoneAggregate {
+        let mut totals = self.local_in_progress.clone();
         totals.add(&self.others.counts());
-        ZoneSum {
+        ZoneAggregate {
             zone,
             hosts: self.hosts_heard_directly() as u32,
             range: HashRange::ALL,
@@ -213,19 +220,19 @@
     }
 
     /// The report of a host that counts.
-    pub fn counted_report(&self, host: &H) -> Option<OwnReport> {
+    pub fn included_report(&self, host: &H) -> Option<ReportId> {
         let known = self.hosts.get(host)?;
-        Some(OwnReport::of(&known.report))
+        Some(ReportId::of(&known.report))
     }
 
     /// Whether this host goes by what relays of its zone sum up.
-    pub fn goes_by_totals(&self) -> bool {
-        self.goes_by_totals
+    pub fn uses_fleet_aggregate(&self) -> bool {
+        self.uses_fleet_aggregate
     }
 
     /// All hosts that are known, this one included.
-    pub fn hosts_known(&self) -> usize {
-        if self.goes_by_totals {
+    pub fn known_host_count(&self) -> usize {
+        if self.uses_fleet_aggregate {
             self.totals.hosts()
         } else {
             self.hosts_heard_directly()
@@ -233,17 +240,17 @@
     }
 
     fn hosts_heard_directly(&self) -> usize {
-        1 + self.hosts.len() + self.far_hosts()
+        1 + self.hosts.len() + self.remote_host_count()
     }
 
     /// Goes by whatever covers more hosts.
     fn choose_source(&mut self) {
-        self.goes_by_totals = self.totals.hosts() > self.hosts_heard_directly();
+        self.uses_fleet_aggregate = self.totals.hosts() > self.hosts_heard_directly();
     }
 
     /// The sum of this host and those that it hears itself, for other zones.
-    pub fn zone_sum(&self, zone: u32, now_ms: u64) -> ZoneSum {
-        let mut totals = self.own.clone();
+    pub fn zone_aggregate(&self, zone: u32, now_ms: u64) -> ZoneAggregate {
+        let mut totals = self.local_in_progress.clone();
         let heard = self.hosts.values();
         let heard = heard.filter(|known| is_recent(known.heard_at_ms, now_ms));
         let mut hosts = 1;
@@ -251,7 +258,7 @@
             hosts += 1;
             totals.add(&known.report.counts);
         }
-        ZoneSum {
+        ZoneAggregate {
             zone,
             hosts,
             range: HashRange::ALL,
@@ -260,10 +267,10 @@
     }
 
     /// The sums of the other zones that came from there, to pass on.
-    pub fn far_sums(&self, now_ms: u64) -> Vec<ZoneSum> {
+    pub fn remote_zone_aggregates(&self, now_ms: u64) -> Vec<ZoneAggregate> {
         let zones = self.zones.iter();
         let sums = zones.filter_map(|(&zone, of_zone)| of_zone.direct(zone, now_ms));
-        let mut sums: Vec<ZoneSum> = sums.collect();
+        let mut sums: Vec<ZoneAggregate> = sums.collect();
         sums.sort_by_key(|sum| sum.zone);
         sums
     }
@@ -287,19 +294,19 @@
     }
 
     /// How many hosts of other zones are known by their zones' sums.
-    pub fn far_hosts(&self) -> usize {
+    pub fn remote_host_count(&self) -> usize {
         self.zones.values().map(ZoneLoads::hosts).sum()
     }
 
     /// How many other hosts were heard of late.
-    pub fn hosts_heard(&self, now_ms: u64) -> usize {
-        if self.goes_by_totals {
+    pub fn recent_host_count(&self, now_ms: u64) -> usize {
+        if self.uses_fleet_aggregate {
             return self.totals.hosts().saturating_sub(1);
         }
         let heard = self.hosts.values();
         let near = heard
             .filter(|known| is_recent(known.heard_at_ms, now_ms))
             .count();
-        near + self.far_hosts()
+        near + self.remote_host_count()
     }
 }
--- a/crates/routing/src/fleet_totals.rs
+++ b/crates/routing/src/fleet_totals.rs
@@ -13,7 +13,7 @@
 
 use crate::fleet_load::HostReport;
 use crate::in_flight::InFlightCounters;
-use crate::zone_loads::{SumPath, ZoneLoads, ZoneSum};
+use crate::zone_loads::{AggregatePath, ZoneAggregate, ZoneLoads};
 
 /// Own reports that are remembered: those of some three seconds, longer than
 /// any sum counts.
@@ -21,14 +21,14 @@
 
 /// Names one report of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnReport {
+pub struct ReportId {
     /// The life of the host.
     pub incarnation: u64,
     /// The number of the report in that life.
     pub sequence: u64,
 }
 
-impl OwnReport {
+impl ReportId {
     /// The name of a report.
     pub fn of(report: &HostReport) -> Self {
         Self {
@@ -44,7 +44,7 @@
     relays: ZoneLoads<H>,
     sum: InFlightCounters,
     /// Own reports that relays' sums include.
-    includes: HashMap<H, OwnReport>,
+    includes: HashMap<H, ReportId>,
     /// The last own reports, oldest first.
     reports: VecDeque<HostReport>,
     /// This host's own requests in the sum that counts.
@@ -74,8 +74,8 @@
     pub(crate) fn merge(
         &mut self,
         relay: H,
-        part: &ZoneSum,
-        includes: Option<OwnReport>,
+        part: &ZoneAggregate,
+        includes: Option<ReportId>,
         now_ms: u64,
     ) {
         match includes {
@@ -83,7 +83,7 @@
             None => self.includes.remove(&relay),
         };
         self.relays
-            .merge(relay, part, SumPath::Direct, now_ms, &mut self.sum);
+            .merge(relay, part, AggregatePath::Direct, now_ms, &mut self.sum);
         self.find_own();
     }
 
@@ -99,7 +99,7 @@
         self.relays.hosts()
     }
 
-    pub(crate) fn of_others(&self, endpoint: u32) -> u32 {
+    pub(crate) fn remote_in_progress(&self, endpoint: u32) -> u32 {
         let own = self.own_in_sum.of(endpoint);
         self.sum.of(endpoint).saturating_sub(own)
     }
@@ -115,7 +115,7 @@
         let included = included.and_then(|relay| self.includes.get(relay));
         let report = included.and_then(|included| {
             let mut reports = self.reports.iter();
-            reports.find(|report| OwnReport::of(report) == *included)
+            reports.find(|report| ReportId::of(report) == *included)
         });
         self.own_in_sum = InFlightCounters::default();
         if let Some(report) = report {
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -102,7 +102,7 @@
     }
 
     /// A request is sent. The first one after a suspicion tries the endpoint.
-    pub fn sent(&mut self, now_ms: u64) {
+    pub fn record_sent(&mut self, now_ms: u64) {
         if self.in_row > 0 && now_ms >= self.suspect_until_ms {
             self.is_tried = true;
             self.suspect_until_ms = now_ms + SILENCE_MS;
@@ -110,7 +110,7 @@
     }
 
     /// A byte of an answer arrived.
-    pub fn heard(&mut self, now_ms: u64) {
+    pub fn record_received(&mut self, now_ms: u64) {
         self.heard_at_ms = now_ms;
         self.silent_at_ms = None;
         if self.is_tried {
@@ -125,7 +125,7 @@
 
     /// Whether it fell silent and was not heard since. A request that may be
     /// repeated should try it rather than one that may not, unless none comes.
-    pub fn is_doubtful(&self, now_ms: u64) -> bool {
+    pub fn is_on_probation(&self, now_ms: u64) -> bool {
         self.silent_at_ms.is_some() && now_ms < self.suspect_until_ms + DOUBT_MS
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -23,7 +23,7 @@
 //!     hash: MemberHash::of(name),
 //!     load: 0,
 //!     slots: 8,
-//!     is_near: true,
+//!     is_same_zone: true,
 //!     is_suspect: false,
 //!     holds_prefix: false,
 //!     is_closed: false,
@@ -31,7 +31,7 @@
 //! let candidates = [idle("engine-a"), idle("engine-b")];
 //! let request = PlacementRequest {
 //!     key: Some(KeyHash::of(b"prefix-1")),
-//!     unseen_arrivals: 0.0,
+//!     unreported_arrivals: 0.0,
 //!     draw: 0,
 //! };
 //! let rules = SpreadRules::default();
@@ -51,13 +51,10 @@
 mod fingerprint;
 mod fleet_load;
 mod fleet_totals;
-mod follow_times;
 mod health;
 mod in_flight;
-mod pause;
 mod poison;
 mod prefix_directory;
-mod readers;
 mod rollout;
 mod route;
 mod rules;
@@ -65,10 +62,13 @@
 mod shares;
 mod spread;
 mod store_version;
+mod subscribers;
+mod subscription_timings;
+mod suspension;
 mod zone_loads;
 
 pub use admission::{
-    AdmissionRequest, LongestStay, PoolOccupancy, ServiceTimeEwma, admit_probability, admits,
+    AdmissionRequest, MaxServiceTime, PoolOccupancy, ServiceTimeEwma, admit_probability, admits,
     shed_probability,
 };
 pub use attempt::{AttemptOutcome, Next, Repeatable, next_step};
@@ -76,26 +76,24 @@
 pub use budget::{BudgetRules, WindowBudget};
 pub use cold::{ColdBound, ColdEndpoints, ColdShare};
 pub use drain_schedule::{DrainPhase, DrainSchedule};
-pub use endpoints::{EndpointState, EndpointTable, Member};
+pub use endpoints::{EndpointState, EndpointTable, PoolMember};
 pub use evacuations::{EvacuationChange, EvacuationRow, Evacuations};
 pub use event_frames::{EventFrame, EventFrames};
 pub use fingerprint::{RequestContent, RequestFingerprint};
-pub use fleet_load::{FleetLoad, HostReport, Merged};
-pub use fleet_totals::OwnReport;
-pub use follow_times::FollowTimes;
+pub use fleet_load::{FleetLoad, HostReport, MergeOutcome};
+pub use fleet_totals::ReportId;
 pub use health::{EndpointHealth, HealthSignal};
 pub use in_flight::{EndpointCount, REPORT_AGE_MAX_MS, REPORT_INTERVAL_MS};
-pub use pause::{ClockReading, Pause, pause_between};
 pub use poison::{
-    CRASHES_MAX, LONG_RUN_MS, POISON_MS, PoisonEvidence, PoisonNews, PoisonRequest, Verdict,
+    LONG_RUN_MS, MAX_CRASHES, POISON_RETENTION_MS, PoisonEvidence, PoisonRequest, PoisonUpdate,
+    PoisonVerdict,
 };
 pub use prefix_directory::{CacheEntry, PrefixDirectory};
-pub use readers::{HeardHost, RELAYS, SubscriptionRole, ZoneView, doubting_part, readers_wanted};
 pub use rollout::{
-    AnswerSeen, BAD_LOG_ODDS, BuildFilter, BuildUse, BuildWish, Decision, Evidence, EvidenceSource,
-    Exposure, ExposureBound, Judgement, Measure, MoveTimes, PoolBuilds, RolloutOrder,
-    RolloutOrderRow, RolloutOrders, RolloutReason, RolloutRecord, RolloutStage, RolloutView,
-    Rollouts, Side, Tally, TallyRow, judge, next_stage,
+    BAD_LOG_ODDS, BuildAssessment, BuildFilter, BuildRequest, BuildSide, BuildUse, Evidence,
+    EvidenceSource, Exposure, ExposureBound, Measure, MoveSchedule, ObservedResponse, PoolBuilds,
+    RolloutOrder, RolloutOrderRow, RolloutOrders, RolloutReason, RolloutRecord, RolloutStage,
+    RolloutView, Rollouts, StageTransition, Tally, TallyRow, assess_build, next_stage,
 };
 pub use route::{Backend, Route, RouteKind};
 pub use rules::{
@@ -105,4 +103,9 @@
 pub use shares::Shares;
 pub use spread::{Basis, Candidate, Placement, PlacementRequest, SpreadRules, choose};
 pub use store_version::StoreVersion;
-pub use zone_loads::{HashRange, SumPath, ZoneSum};
+pub use subscribers::{
+    RELAYS_PER_ZONE, SubscriptionRole, ZonePeer, ZoneView, stale_poll_fraction, subscribers_needed,
+};
+pub use subscription_timings::SubscriptionTimings;
+pub use suspension::{ClockReading, Suspension, detect_suspension};
+pub use zone_loads::{AggregatePath, HashRange, ZoneAggregate};
--- a/crates/routing/src/poison.rs
+++ b/crates/routing/src/poison.rs
@@ -4,8 +4,8 @@
 //! the cause. Which one can't be seen at one end: it is the one that was there
 //! again and again. So each host notes what it had running where an endpoint
 //! ended, by what a request has in common with its repeats, and hosts tell each
-//! other. A request under which [`CRASHES_MAX`] endpoints ended is sent no further,
-//! by any host, for [`POISON_MS`].
+//! other. A request under which [`MAX_CRASHES`] endpoints ended is sent no further,
+//! by any host, for [`POISON_RETENTION_MS`].
 //!
 //! One that ends endpoints does so as it begins to run; one that had run for long when
 //! its endpoint ended speaks half as much against its request.
@@ -24,7 +24,7 @@
 /// would end a further endpoint with all that it runs; one fewer would refuse
 /// whatever two lost endpoints had in common, as streams have that went on
 /// elsewhere when the first was lost.
-pub const CRASHES_MAX: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 /// How long, in milliseconds, a request gives bytes of its answer before the end of its
 /// endpoint speaks half as much against it. Endpoints ended 40 to 80 ms after such a
 /// request began to run. With half the weight, and five such requests at once beside 64
@@ -35,11 +35,11 @@
 const SHORT_RUN_WEIGHT: usize = 2;
 const LONG_RUN_WEIGHT: usize = 1;
 /// What has to speak against a request, in halves.
-const POISON_WEIGHT: usize = CRASHES_MAX * SHORT_RUN_WEIGHT;
+const POISON_WEIGHT: usize = MAX_CRASHES * SHORT_RUN_WEIGHT;
 /// How long, in milliseconds, what was seen of a request counts, and a request is
 /// sent no further. Callers' programs repeat a call for minutes at most; an engine
 /// that is mended meanwhile is tried again after this.
-pub const POISON_MS: u64 = 600_000;
+pub const POISON_RETENTION_MS: u64 = 600_000;
 /// Requests that are remembered for having been there as an endpoint ended. An
 /// endpoint runs up to 128 at once; of those beyond this, the ones that were there
 /// least often are forgotten first.
@@ -56,7 +56,7 @@
 
 /// What one host tells another of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum PoisonNews {
+pub enum PoisonUpdate {
     /// An endpoint ended that had it running.
     EndedUnder {
         /// The request.
@@ -82,7 +82,7 @@
 
 /// What a host has come to believe of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum PoisonVerdict {
     /// It is sent no further.
     Poison {
         /// The request.
@@ -150,8 +150,8 @@
 }
 
 impl End {
-    fn news(self) -> PoisonNews {
-        PoisonNews::EndedUnder {
+    fn news(self) -> PoisonUpdate {
+        PoisonUpdate::EndedUnder {
             request: self.request,
             start: self.start,
             ran_long: self.ran_long,
@@ -161,7 +161,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    news: PoisonNews,
+    news: PoisonUpdate,
     times_left: u8,
     since_ms: u64,
 }
@@ -176,10 +176,10 @@
 /// let request = RequestFingerprint(7);
 /// let mut evidence = PoisonEvidence::default();
 /// for start in [1, 2, 2] {
-///     evidence.ended_under(request, start, 40, 0);
+///     evidence.record_crash(request, start, 40, 0);
 /// }
 /// assert!(!evidence.is_poison(request, 10));
-/// evidence.ended_under(request, 3, 40, 20);
+/// evidence.record_crash(request, 3, 40, 20);
 /// assert!(evidence.is_poison(request, 30));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -194,13 +194,13 @@
 impl PoisonEvidence {
     /// An endpoint ended that had a request running which this host sent, and had given
     /// bytes of its answer for so long.
-    pub fn ended_under(
+    pub fn record_crash(
         &mut self,
         request: RequestFingerprint,
         start: u32,
         ran_ms: u64,
         now_ms: u64,
-    ) -> Option<Verdict> {
+    ) -> Option<PoisonVerdict> {
         if self.ran_well.contains(&request) {
             return None;
         }
@@ -215,23 +215,32 @@
     }
 
     /// A request ran to a good end.
-    pub fn ended_well(&mut self, request: RequestFingerprint, now_ms: u64) -> Option<Verdict> {
+    pub fn record_completion(
+        &mut self,
+        request: RequestFingerprint,
+        now_ms: u64,
+    ) -> Option<PoisonVerdict> {
         self.remember_ran_well(request);
         let suspect = self.suspects.remove(&request)?;
-        self.queue(PoisonNews::RanWell(request), now_ms);
+        self.queue(PoisonUpdate::RanWell(request), now_ms);
         let records = true;
         suspect
             .is_poison
-            .then_some(Verdict::Cleared { request, records })
+            .then_some(PoisonVerdict::Cleared { request, records })
     }
 
     /// Takes what another host told, and passes on what is new if it is for this
     /// host to do so. Returns what follows from it.
-    pub fn merge(&mut self, told: &[PoisonNews], passes_on: bool, now_ms: u64) -> Vec<Verdict> {
+    pub fn merge(
+        &mut self,
+        told: &[PoisonUpdate],
+        passes_on: bool,
+        now_ms: u64,
+    ) -> Vec<PoisonVerdict> {
         let mut verdicts = Vec::new();
         for &news in told {
             let is_new = match news {
-                PoisonNews::EndedUnder {
+                PoisonUpdate::EndedUnder {
                     request,
                     start,
                     ran_long,
@@ -245,13 +254,14 @@
                     verdicts.extend(self.count(end, false, now_ms));
                     is_new
                 }
-                PoisonNews::RanWell(request) => {
+                PoisonUpdate::RanWell(request) => {
                     let is_new = !self.ran_well.contains(&request);
                     self.remember_ran_well(request);
                     let suspect = self.suspects.remove(&request);
                     let was_poison = suspect.is_some_and(|suspect| suspect.is_poison);
                     let records = false;
-                    verdicts.extend(was_poison.then_some(Verdict::Cleared { request, records }));
+                    verdicts
+                        .extend(was_poison.then_some(PoisonVerdict::Cleared { request, records }));
                     is_new
                 }
             };
@@ -264,13 +274,13 @@
 
     /// Takes the requests that another host sends no further. Returns those that
     /// are news to this one.
-    pub fn merge_poison(&mut self, told: &[PoisonRequest], now_ms: u64) -> Vec<Verdict> {
+    pub fn merge_poison(&mut self, told: &[PoisonRequest], now_ms: u64) -> Vec<PoisonVerdict> {
         let mut verdicts = Vec::new();
         for poison in told {
             let request = poison.request;
             if self.ran_well.contains(&request) {
                 // It has not heard yet.
-                self.queue(PoisonNews::RanWell(request), now_ms);
+                self.queue(PoisonUpdate::RanWell(request), now_ms);
                 continue;
             }
             let until_ms = now_ms + u64::from(poison.left_ms);
@@ -279,18 +289,18 @@
             suspect.is_poison = true;
             suspect.until_ms = suspect.until_ms.max(until_ms);
             let records = false;
-            verdicts.extend(is_new.then_some(Verdict::Poison { request, records }));
+            verdicts.extend(is_new.then_some(PoisonVerdict::Poison { request, records }));
         }
         verdicts
     }
 
     /// Whether a request is sent no further.
     pub fn is_poison(&self, request: RequestFingerprint, now_ms: u64) -> bool {
-        self.left_ms(request, now_ms).is_some()
+        self.remaining_ms(request, now_ms).is_some()
     }
 
     /// For how much longer a request is sent no further, in milliseconds.
-    pub fn left_ms(&self, request: RequestFingerprint, now_ms: u64) -> Option<u64> {
+    pub fn remaining_ms(&self, request: RequestFingerprint, now_ms: u64) -> Option<u64> {
         let suspect = self.suspects.get(&request)?;
         let left_ms = suspect.until_ms.saturating_sub(now_ms);
         (suspect.is_poison && left_ms > 0).then_some(left_ms)
@@ -304,16 +314,16 @@
 
     /// A request came again that is sent no further: it stays so for the whole
     /// time from now on.
-    pub fn came_again(&mut self, request: RequestFingerprint, now_ms: u64) {
+    pub fn record_repeat(&mut self, request: RequestFingerprint, now_ms: u64) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.until_ms = now_ms + POISON_MS;
+            suspect.until_ms = now_ms + POISON_RETENTION_MS;
         }
     }
 
     /// The requests that are sent no further, those with the most time left first.
-    pub fn poison(&self, most: usize, now_ms: u64) -> Vec<PoisonRequest> {
+    pub fn poison_requests(&self, most: usize, now_ms: u64) -> Vec<PoisonRequest> {
         let poison = self.suspects.keys().filter_map(|request| {
-            let left_ms = self.left_ms(*request, now_ms)?;
+            let left_ms = self.remaining_ms(*request, now_ms)?;
             Some(PoisonRequest {
                 request: *request,
                 left_ms: u32::try_from(left_ms).unwrap_or(u32::MAX),
@@ -327,7 +337,7 @@
 
     /// What to tell the other hosts now, so much of it at most. Each piece of news
     /// is told a few times; what waited too long is not.
-    pub fn take_pending(&mut self, most: usize, now_ms: u64) -> Vec<PoisonNews> {
+    pub fn take_updates(&mut self, most: usize, now_ms: u64) -> Vec<PoisonUpdate> {
         let is_fresh =
             |pending: &Pending| now_ms.saturating_sub(pending.since_ms) <= NEWS_MAX_AGE_MS;
         self.pending.retain(is_fresh);
@@ -357,22 +367,22 @@
         !self.ran_well.contains(&request) && !self.suspects.get(&request).is_some_and(is_known)
     }
 
-    fn count(&mut self, end: End, is_own: bool, now_ms: u64) -> Option<Verdict> {
+    fn count(&mut self, end: End, is_own: bool, now_ms: u64) -> Option<PoisonVerdict> {
         let request = end.request;
         if self.ran_well.contains(&request) {
-            self.queue(PoisonNews::RanWell(request), now_ms);
+            self.queue(PoisonUpdate::RanWell(request), now_ms);
             return None;
         }
         let suspect = self.suspect(request, now_ms);
         suspect.is_own |= is_own;
-        suspect.until_ms = now_ms + POISON_MS;
+        suspect.until_ms = now_ms + POISON_RETENTION_MS;
         suspect.count(end.start, end.ran_long);
         if suspect.is_poison || suspect.weight() < POISON_WEIGHT {
             return None;
         }
         suspect.is_poison = true;
         let records = suspect.is_own;
-        Some(Verdict::Poison { request, records })
+        Some(PoisonVerdict::Poison { request, records })
     }
 
     /// What is believed of a request, from now on; makes room for it.
@@ -416,7 +426,7 @@
         }
     }
 
-    fn queue(&mut self, news: PoisonNews, now_ms: u64) {
+    fn queue(&mut self, news: PoisonUpdate, now_ms: u64) {
         let is_waiting = self.pending.iter().any(|pending| pending.news == news);
         if is_waiting || self.pending.len() >= PENDING_MAX {
             return;
--- a/crates/routing/src/prefix_directory.rs
+++ b/crates/routing/src/prefix_directory.rs
@@ -58,7 +58,7 @@
 impl PrefixDirectory {
     /// An own request showed that an endpoint holds a part. Returns whether
     /// the other hosts should be told.
-    pub fn note(&mut self, holding: CacheEntry, now_ms: u64) -> bool {
+    pub fn record(&mut self, holding: CacheEntry, now_ms: u64) -> bool {
         let Some(holder) = self.holder(holding, now_ms) else {
             return false;
         };
@@ -75,7 +75,7 @@
     /// Another host told that an endpoint holds a part. Returns whether hosts
     /// that did not hear it should be told.
     pub fn merge(&mut self, holding: CacheEntry, now_ms: u64) -> bool {
-        self.note(holding, now_ms)
+        self.record(holding, now_ms)
     }
 
     /// Whether an endpoint holds a part.
--- a/crates/routing/src/rollout/judge.rs
+++ b/crates/routing/src/rollout/assessment.rs
@@ -15,7 +15,7 @@
 
 use serde::Serialize;
 
-use crate::rollout::evidence::{Measure, Side, Stratum, Tally};
+use crate::rollout::evidence::{BuildSide, Measure, Stratum, Tally};
 
 /// The natural logarithm of the odds from which a build is bad: at one test a good
 /// build reaches them once in 665 cases at most. Of 1,000 drawn good builds of
@@ -36,7 +36,7 @@
 
 /// What answers say of a new build.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Judgement {
+pub struct BuildAssessment {
     /// The logarithm of the odds that it is bad, of what speaks most against it.
     pub log_odds: f64,
     /// What that is: a measure, of a route or of all together.
@@ -55,14 +55,14 @@
     pub old_failures: u32,
 }
 
-impl Judgement {
+impl BuildAssessment {
     /// Whether the build is bad.
     pub fn is_bad(&self) -> bool {
         self.log_odds >= BAD_LOG_ODDS
     }
 }
 
-impl fmt::Display for Judgement {
+impl fmt::Display for BuildAssessment {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -86,25 +86,25 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::{AnswerSeen, Side, Tally, judge};
+/// use chalkrock_routing::{ObservedResponse, BuildSide, Tally, judge};
 ///
 /// let route = "chat".into();
-/// let whole = AnswerSeen::Ended { pace_ms: None };
+/// let whole = ObservedResponse::Ended { pace_ms: None };
 /// let mut tally = Tally::default();
-/// (0..200).for_each(|_| tally.count(&route, Side::Old, whole));
-/// (0..20).for_each(|_| tally.count(&route, Side::New, whole));
-/// assert!(!judge(&tally).is_bad());
-/// (0..5).for_each(|_| tally.count(&route, Side::New, AnswerSeen::Failed));
-/// assert!(judge(&tally).is_bad());
+/// (0..200).for_each(|_| tally.count(&route, BuildSide::Old, whole));
+/// (0..20).for_each(|_| tally.count(&route, BuildSide::New, whole));
+/// assert!(!assess_build(&tally).is_bad());
+/// (0..5).for_each(|_| tally.count(&route, BuildSide::New, ObservedResponse::Failed));
+/// assert!(assess_build(&tally).is_bad());
 /// ```
-pub fn judge(tally: &Tally) -> Judgement {
-    let mut judgement = Judgement {
+pub fn assess_build(tally: &Tally) -> BuildAssessment {
+    let mut assessment = BuildAssessment {
         log_odds: f64::NEG_INFINITY,
-        answers: tally.answers(Side::New),
-        failures: tally.failures(Side::New),
-        old_answers: tally.answers(Side::Old),
-        old_failures: tally.failures(Side::Old),
-        ..Judgement::default()
+        answers: tally.answers(BuildSide::New),
+        failures: tally.failures(BuildSide::New),
+        old_answers: tally.answers(BuildSide::Old),
+        old_failures: tally.failures(BuildSide::Old),
+        ..BuildAssessment::default()
     };
     let mut together: BTreeMap<Measure, Vec<Counts>> = BTreeMap::new();
     for stratum in tally.strata() {
@@ -113,18 +113,18 @@
         };
         let measure = stratum.measure;
         together.entry(measure).or_default().push(counts);
-        judgement.consider(&[counts], measure, Some(stratum.route));
+        assessment.consider(&[counts], measure, Some(stratum.route));
     }
     for (measure, counts) in &together {
-        judgement.consider(counts, *measure, None);
+        assessment.consider(counts, *measure, None);
     }
-    if judgement.measure.is_none() {
-        judgement.log_odds = 0.0;
+    if assessment.measure.is_none() {
+        assessment.log_odds = 0.0;
     }
-    judgement
+    assessment
 }
 
-impl Judgement {
+impl BuildAssessment {
     fn consider(&mut self, counts: &[Counts], measure: Measure, route: Option<&Arc<str>>) {
         let log_odds = log_odds(counts);
         if log_odds > self.log_odds {
--- a/crates/routing/src/rollout/evidence.rs
+++ b/crates/routing/src/rollout/evidence.rs
@@ -13,7 +13,7 @@
 /// Which build answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Side {
+pub enum BuildSide {
     /// A build that the pool ran before.
     Old,
     /// The one that it moves to.
@@ -44,7 +44,7 @@
 /// What a host saw of an answer. Its first byte is told as it comes: slow answers take
 /// long to end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AnswerSeen {
+pub enum ObservedResponse {
     /// It began.
     Began {
         /// Time from the send to its first byte, in milliseconds.
@@ -68,14 +68,14 @@
     /// The route.
     pub route: Arc<str>,
     /// The build that answered.
-    pub side: Side,
+    pub side: BuildSide,
     /// What is counted.
     pub measure: Measure,
     /// Answers by bin.
     pub bins: BTreeMap<u8, u32>,
 }
 
-type Key = (Arc<str>, Side, Measure);
+type Key = (Arc<str>, BuildSide, Measure);
 
 /// What was counted of one route by one measure, by bins.
 pub(super) struct Stratum<'a> {
@@ -116,9 +116,9 @@
 
 impl Tally {
     /// Counts what was seen of an answer to a request of a route.
-    pub fn count(&mut self, route: &Arc<str>, side: Side, seen: AnswerSeen) {
+    pub fn record(&mut self, route: &Arc<str>, side: BuildSide, seen: ObservedResponse) {
         match seen {
-            AnswerSeen::Began {
+            ObservedResponse::Began {
                 first_byte_ms,
                 holds_prefix,
             } => {
@@ -129,13 +129,13 @@
                 };
                 self.add(route, side, measure, bin_of(first_byte_ms), 1);
             }
-            AnswerSeen::Ended { pace_ms } => {
+            ObservedResponse::Ended { pace_ms } => {
                 self.add(route, side, Measure::Failure, 0, 1);
                 if let Some(ms) = pace_ms {
                     self.add(route, side, Measure::Pace, bin_of(ms), 1);
                 }
             }
-            AnswerSeen::Failed => self.add(route, side, Measure::Failure, 1, 1),
+            ObservedResponse::Failed => self.add(route, side, Measure::Failure, 1, 1),
         }
     }
 
@@ -149,14 +149,14 @@
     }
 
     /// Answers of a side.
-    pub fn answers(&self, side: Side) -> u32 {
+    pub fn answers(&self, side: BuildSide) -> u32 {
         let rows = self.0.iter();
         let of_side = rows.filter(|((_, of, measure), _)| *of == side && !measure.is_time());
         of_side.flat_map(|(_, bins)| bins.values()).sum()
     }
 
     /// Failures of a side.
-    pub fn failures(&self, side: Side) -> u32 {
+    pub fn failures(&self, side: BuildSide) -> u32 {
         let rows = self.0.iter();
         let of_side = rows.filter(|((_, of, measure), _)| *of == side && !measure.is_time());
         of_side.filter_map(|(_, bins)| bins.get(&1)).sum()
@@ -164,16 +164,19 @@
 
     /// Each route and measure of which the new build gave answers.
     pub(super) fn strata(&self) -> impl Iterator<Item = Stratum<'_>> {
-        let of_new = self.0.iter().filter(|((_, side, _), _)| *side == Side::New);
+        let of_new = self
+            .0
+            .iter()
+            .filter(|((_, side, _), _)| *side == BuildSide::New);
         of_new.map(|((route, _, measure), new)| Stratum {
             route,
             measure: *measure,
             new,
-            old: self.0.get(&(route.clone(), Side::Old, *measure)),
+            old: self.0.get(&(route.clone(), BuildSide::Old, *measure)),
         })
     }
 
-    fn add(&mut self, route: &Arc<str>, side: Side, measure: Measure, bin: u8, count: u32) {
+    fn add(&mut self, route: &Arc<str>, side: BuildSide, measure: Measure, bin: u8, count: u32) {
         let bins = self.0.entry((route.clone(), side, measure)).or_default();
         let known = bins.entry(bin).or_default();
         *known = known.saturating_add(count);
@@ -209,31 +212,31 @@
 /// Counts of all hosts of the fleet, as one host knows them.
 #[derive(Clone, Debug)]
 pub struct Evidence<H> {
-    own: Tally,
+    local_tally: Tally,
     told: HashMap<EvidenceSource<H>, Tally>,
     /// How long the longest request of each route stayed, whoever saw it.
-    longest_stays_ms: BTreeMap<Arc<str>, u64>,
+    max_service_times_ms: BTreeMap<Arc<str>, u64>,
 }
 
 impl<H> Default for Evidence<H> {
     fn default() -> Self {
         Self {
-            own: Tally::default(),
+            local_tally: Tally::default(),
             told: HashMap::new(),
-            longest_stays_ms: BTreeMap::new(),
+            max_service_times_ms: BTreeMap::new(),
         }
     }
 }
 
 impl<H: Clone + Eq + Hash> Evidence<H> {
     /// This host saw something of an answer.
-    pub fn count(&mut self, route: &Arc<str>, side: Side, seen: AnswerSeen) {
-        self.own.count(route, side, seen);
+    pub fn record(&mut self, route: &Arc<str>, side: BuildSide, seen: ObservedResponse) {
+        self.local_tally.record(route, side, seen);
     }
 
     /// What this host saw itself.
-    pub fn own(&self) -> &Tally {
-        &self.own
+    pub fn local_tally(&self) -> &Tally {
+        &self.local_tally
     }
 
     /// Takes what others told, each row unless as much of it is known.
@@ -249,19 +252,19 @@
     }
 
     /// Someone saw a request of a route stay so long.
-    pub fn stayed(&mut self, route: &Arc<str>, stayed_ms: u64) {
-        let longest_ms = self.longest_stays_ms.entry(route.clone()).or_default();
-        *longest_ms = stayed_ms.max(*longest_ms);
+    pub fn record_service_time(&mut self, route: &Arc<str>, service_ms: u64) {
+        let longest_ms = self.max_service_times_ms.entry(route.clone()).or_default();
+        *longest_ms = service_ms.max(*longest_ms);
     }
 
     /// How long the longest request of each route stayed.
-    pub fn longest_stays_ms(&self) -> &BTreeMap<Arc<str>, u64> {
-        &self.longest_stays_ms
+    pub fn max_service_times_ms(&self) -> &BTreeMap<Arc<str>, u64> {
+        &self.max_service_times_ms
     }
 
     /// What this host and those of its zone saw, to tell other zones.
-    pub fn zone_sum(&self) -> Tally {
-        let mut sum = self.own.clone();
+    pub fn zone_tally(&self) -> Tally {
+        let mut sum = self.local_tally.clone();
         for (source, tally) in &self.told {
             if matches!(source, EvidenceSource::Host { .. }) {
                 sum.add_all(tally);
@@ -272,10 +275,10 @@
 
     /// What the whole fleet saw. Of a zone's relays the one that tells of most answers
     /// counts: they sum up the same hosts.
-    pub fn sum(&self) -> Tally {
-        let mut sum = self.zone_sum();
+    pub fn combined_tally(&self) -> Tally {
+        let mut sum = self.zone_tally();
         let mut zones: HashMap<u32, &Tally> = HashMap::new();
-        let answers = |tally: &Tally| tally.answers(Side::Old) + tally.answers(Side::New);
+        let answers = |tally: &Tally| tally.answers(BuildSide::Old) + tally.answers(BuildSide::New);
         for (source, tally) in &self.told {
             if let EvidenceSource::Zone { zone, .. } = source {
                 let best = zones.entry(*zone).or_insert(tally);
--- a/crates/routing/src/rollout/exposure.rs
+++ b/crates/routing/src/rollout/exposure.rs
@@ -99,7 +99,7 @@
 
     /// A request of a route arrives, the order being so old, at one of so many hosts.
     /// Whether it goes to the new build.
-    pub fn takes(&mut self, route: &Arc<str>, age_ms: u64, hosts: usize) -> bool {
+    pub fn admits(&mut self, route: &Arc<str>, age_ms: u64, hosts: usize) -> bool {
         let share = self.own_share(age_ms, hosts);
         let begins_at = self.begins_at;
         self.requests += 1;
--- a/crates/routing/src/rollout/order.rs
+++ b/crates/routing/src/rollout/order.rs
@@ -57,7 +57,10 @@
 
 impl RolloutOrders {
     /// The orders that the store holds as of a version.
-    pub fn as_of(version: StoreVersion, rows: impl IntoIterator<Item = RolloutOrderRow>) -> Self {
+    pub fn from_snapshot(
+        version: StoreVersion,
+        rows: impl IntoIterator<Item = RolloutOrderRow>,
+    ) -> Self {
         let mut orders = Self {
             version,
             by_pool: BTreeMap::new(),
@@ -82,7 +85,7 @@
     /// Takes a state that was read whole. If it is the first of a later era, the store
     /// came back from a copy that may lack what operators wrote last: orders hold until
     /// they write about them again.
-    pub fn read(&mut self, mut other: RolloutOrders) -> bool {
+    pub fn replace(&mut self, mut other: RolloutOrders) -> bool {
         if other.version.era() > self.version.era() {
             for (pool, given) in &self.by_pool {
                 let known = other.by_pool.entry(pool.clone());
@@ -94,7 +97,7 @@
 
     /// Takes the rows of a part of the history, oldest first, that ends at `until` and
     /// begins no later than what is known. Returns whether they change any order.
-    pub fn follow(&mut self, rows: &[RolloutOrderRow], until: StoreVersion) -> bool {
+    pub fn apply_changes(&mut self, rows: &[RolloutOrderRow], until: StoreVersion) -> bool {
         let mut next = self.clone();
         for row in rows.iter().filter(|row| row.version > self.version) {
             next.apply(row.clone());
--- a/crates/routing/src/rollout/runs.rs
+++ b/crates/routing/src/rollout/runs.rs
@@ -8,7 +8,7 @@
 use chalkrock_core::{BuildVersion, PoolId};
 
 use crate::StoreVersion;
-use crate::rollout::evidence::{AnswerSeen, Evidence, Side};
+use crate::rollout::evidence::{BuildSide, Evidence, ObservedResponse};
 use crate::rollout::exposure::{Exposure, ExposureBound};
 use crate::rollout::order::{Given, RolloutOrder, RolloutOrderRow, RolloutOrders};
 use crate::rollout::stage::{RolloutRecord, RolloutStage};
@@ -82,7 +82,7 @@
 
 /// A request that is to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct BuildWish<'a> {
+pub struct BuildRequest<'a> {
     /// Its pool.
     pub pool: &'a PoolId,
     /// Its route.
@@ -166,26 +166,26 @@
     }
 
     /// Takes orders that were read or passed on. `draw`: any number from 0 up to 1.
-    pub fn take_orders(&mut self, orders: &RolloutOrders, draw: f64, now_ms: u64) -> bool {
+    pub fn merge_orders(&mut self, orders: &RolloutOrders, draw: f64, now_ms: u64) -> bool {
         let is_news = self.orders.merge(orders);
         self.orders_changed(is_news, draw, now_ms)
     }
 
     /// Takes the orders as they were read whole.
-    pub fn read_orders(&mut self, orders: RolloutOrders, draw: f64, now_ms: u64) -> bool {
-        let is_news = self.orders.read(orders);
+    pub fn replace_orders(&mut self, orders: RolloutOrders, draw: f64, now_ms: u64) -> bool {
+        let is_news = self.orders.replace(orders);
         self.orders_changed(is_news, draw, now_ms)
     }
 
     /// Takes the orders of a part of the store's history.
-    pub fn follow(
+    pub fn apply_order_changes(
         &mut self,
         rows: &[RolloutOrderRow],
         until: StoreVersion,
         draw: f64,
         now_ms: u64,
     ) -> bool {
-        let is_news = self.orders.follow(rows, until);
+        let is_news = self.orders.apply_changes(rows, until);
         self.orders_changed(is_news, draw, now_ms)
     }
 
@@ -226,7 +226,7 @@
 
     /// Takes the age of the order for a pool, as another host knows it: whoever heard
     /// of the order first is right.
-    pub fn take_age(&mut self, pool: &PoolId, order: StoreVersion, age_ms: u64, now_ms: u64) {
+    pub fn merge_age(&mut self, pool: &PoolId, order: StoreVersion, age_ms: u64, now_ms: u64) {
         if let Some(run) = self.runs.get_mut(pool)
             && run.given.version == order
         {
@@ -236,7 +236,7 @@
 
     /// Takes a record that was written, read or passed on, if it is newer. Returns
     /// whether it changes what is in force.
-    pub fn take_record(
+    pub fn merge_record(
         &mut self,
         pool: &PoolId,
         record: RolloutRecord,
@@ -267,7 +267,7 @@
     /// host believes also if its version is lower. The next record replaces it; one that
     /// is missing or can't be read (`None`) changes nothing else. Returns whether it
     /// changes what is in force.
-    pub fn found_at_store(
+    pub fn record_stored(
         &mut self,
         pool: &PoolId,
         record: Option<RolloutRecord>,
@@ -280,7 +280,7 @@
                 if version < known.version {
                     *known = Recorded::default();
                 }
-                self.take_record(pool, record, version, now_ms)
+                self.merge_record(pool, record, version, now_ms)
             }
             None => {
                 known.version = version;
@@ -337,7 +337,7 @@
 
     /// Takes note of the builds that a pool's endpoints run. Those of the first list
     /// are taken for the usual ones.
-    pub fn builds_listed<'a>(
+    pub fn record_listed_builds<'a>(
         &mut self,
         pool: &PoolId,
         builds: impl IntoIterator<Item = &'a BuildVersion>,
@@ -354,7 +354,7 @@
     }
 
     /// The build of each pool, if each has only ever run one that is known.
-    pub fn usual_builds(&self) -> Option<Vec<(PoolId, BuildVersion)>> {
+    pub fn stable_builds(&self) -> Option<Vec<(PoolId, BuildVersion)>> {
         let pools = self.known_builds.iter();
         let only = pools.map(|(pool, builds)| {
             let build = builds.first().filter(|build| build.is_known())?;
@@ -364,7 +364,7 @@
     }
 
     /// What a request of a pool tries, in this order, before it is refused.
-    pub fn uses(&mut self, wish: &BuildWish<'_>, now_ms: u64) -> &'static [BuildUse] {
+    pub fn build_uses(&mut self, wish: &BuildRequest<'_>, now_ms: u64) -> &'static [BuildUse] {
         let age_ms = self.age_ms(wish.pool, now_ms);
         let record = self.record(wish.pool).map(|(record, _)| record);
         let stage = record.map(|record| record.stage);
@@ -377,7 +377,7 @@
             Some(RolloutStage::Canary | RolloutStage::Moving)
                 if !has_moved
                     && wish.is_first
-                    && run.exposure.takes(wish.route, age_ms, wish.hosts) =>
+                    && run.exposure.admits(wish.route, age_ms, wish.hosts) =>
             {
                 &[BuildUse::Canary, BuildUse::Old]
             }
@@ -389,7 +389,7 @@
     }
 
     /// What most requests of a pool try first.
-    pub fn usual_use(&self, pool: &PoolId) -> BuildUse {
+    pub fn stable_use(&self, pool: &PoolId) -> BuildUse {
         if !self.runs.contains_key(pool) {
             return BuildUse::Any;
         }
@@ -445,21 +445,21 @@
         pool: &PoolId,
         route: &Arc<str>,
         build: &BuildVersion,
-        seen: AnswerSeen,
+        seen: ObservedResponse,
     ) {
         let record = self.record(pool).map(|(record, _)| record);
         let Some(record) = record.filter(|record| !record.stage.is_final()) else {
             return;
         };
         let side = if *build == record.build {
-            Side::New
+            BuildSide::New
         } else if record.from.contains(build) {
-            Side::Old
+            BuildSide::Old
         } else {
             return;
         };
         if let Some(run) = self.runs.get_mut(pool) {
-            run.evidence.count(route, side, seen);
+            run.evidence.record(route, side, seen);
         }
     }
 
--- a/crates/routing/src/rollout/stage.rs
+++ b/crates/routing/src/rollout/stage.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::StoreVersion;
-use crate::rollout::judge::Judgement;
+use crate::rollout::assessment::BuildAssessment;
 
 /// How far a rollout has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -123,21 +123,21 @@
     /// moved.
     pub old_idle_ms: u64,
     /// How long the longest request of each route has stayed of late.
-    pub longest_stays_ms: BTreeMap<Arc<str>, u64>,
+    pub max_service_times_ms: BTreeMap<Arc<str>, u64>,
     /// What answers say of the new build.
-    pub judgement: Judgement,
+    pub assessment: BuildAssessment,
 }
 
 /// A stage to go on to, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decision {
+pub struct StageTransition {
     /// The stage.
     pub stage: RolloutStage,
     /// Why.
     pub reason: RolloutReason,
 }
 
-impl Decision {
+impl StageTransition {
     fn new(stage: RolloutStage, reason: RolloutReason) -> Option<Self> {
         Some(Self { stage, reason })
     }
@@ -169,26 +169,26 @@
 
 /// When all traffic moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MoveTimes {
+pub struct MoveSchedule {
     /// Age of the order from which it moves, if the new build is called sound.
     pub wanted_ms: f64,
     /// Age from which it has to be decided.
     pub last_ms: f64,
 }
 
-impl MoveTimes {
+impl MoveSchedule {
     /// For an order with so much time, and requests that stay so long at most.
     ///
     /// # Example
     ///
     /// ```
-    /// use chalkrock_routing::MoveTimes;
+    /// use chalkrock_routing::MoveSchedule;
     ///
-    /// let times = MoveTimes::of(12_000, 4_000);
+    /// let times = MoveSchedule::of(12_000, 4_000);
     /// assert_eq!(times.wanted_ms, 6_500.0);
     /// assert_eq!(times.last_ms, 8_500.0);
     /// ```
-    pub fn of(within_ms: u64, longest_stay_ms: u64) -> Self {
+    pub fn new(within_ms: u64, longest_stay_ms: u64) -> Self {
         let within_ms = within_ms as f64;
         let longest_ms = longest_stay_ms as f64;
         let wanted_ms = within_ms - longest_ms - WORD_MS;
@@ -203,9 +203,9 @@
 impl RolloutView {
     /// How old the order is when the requests of each route move.
     pub fn moves_ms(&self) -> BTreeMap<Arc<str>, u64> {
-        let stays = self.longest_stays_ms.iter();
+        let stays = self.max_service_times_ms.iter();
         let moves = stays.map(|(route, stay_ms)| {
-            let times = MoveTimes::of(self.within_ms, *stay_ms);
+            let times = MoveSchedule::new(self.within_ms, *stay_ms);
             (route.clone(), times.wanted_ms as u64)
         });
         moves.collect()
@@ -213,15 +213,15 @@
 }
 
 /// The stage that a rollout goes on to now; `None` if it stays where it is.
-pub fn next_stage(view: &RolloutView) -> Option<Decision> {
+pub fn next_stage(view: &RolloutView) -> Option<StageTransition> {
     match view.stage {
         None if view.is_withdrawn => None,
-        None => Decision::new(RolloutStage::Canary, RolloutReason::Ordered),
+        None => StageTransition::new(RolloutStage::Canary, RolloutReason::Ordered),
         Some(RolloutStage::Canary | RolloutStage::Moving) if view.is_withdrawn => {
-            Decision::new(RolloutStage::RolledBack, RolloutReason::Withdrawn)
+            StageTransition::new(RolloutStage::RolledBack, RolloutReason::Withdrawn)
         }
-        Some(RolloutStage::Canary | RolloutStage::Moving) if view.judgement.is_bad() => {
-            Decision::new(RolloutStage::RolledBack, RolloutReason::Bad)
+        Some(RolloutStage::Canary | RolloutStage::Moving) if view.assessment.is_bad() => {
+            StageTransition::new(RolloutStage::RolledBack, RolloutReason::Bad)
         }
         Some(RolloutStage::Canary) => after_canary(view),
         Some(RolloutStage::Moving) => after_moving(view),
@@ -229,29 +229,29 @@
     }
 }
 
-fn after_canary(view: &RolloutView) -> Option<Decision> {
+fn after_canary(view: &RolloutView) -> Option<StageTransition> {
     let is_over = view.age_ms >= view.within_ms;
     if view.new_slots == 0 {
         return rolled_back_if(is_over, RolloutReason::NoEndpoints);
     }
     if view.old_slots == 0 {
-        return Decision::new(RolloutStage::Moving, RolloutReason::Moved);
+        return StageTransition::new(RolloutStage::Moving, RolloutReason::Moved);
     }
-    let longest_ms = view.longest_stays_ms.values().max();
-    let times = MoveTimes::of(view.within_ms, longest_ms.copied().unwrap_or_default());
+    let longest_ms = view.max_service_times_ms.values().max();
+    let times = MoveSchedule::new(view.within_ms, longest_ms.copied().unwrap_or_default());
     let age_ms = view.age_ms as f64;
-    let answers = view.judgement.answers;
-    let speaks_for = view.judgement.log_odds < LEAN_LOG_ODDS;
+    let answers = view.assessment.answers;
+    let speaks_for = view.assessment.log_odds < LEAN_LOG_ODDS;
     let is_sound = answers >= ANSWERS_WANTED && speaks_for;
     let has_to_do = age_ms >= times.last_ms && answers >= ANSWERS_MIN && speaks_for;
     if age_ms >= times.wanted_ms && (is_sound || has_to_do) && has_room(view) {
-        return Decision::new(RolloutStage::Moving, RolloutReason::Sound);
+        return StageTransition::new(RolloutStage::Moving, RolloutReason::Sound);
     }
     rolled_back_if(is_over, RolloutReason::Undecided)
 }
 
-fn rolled_back_if(is_due: bool, reason: RolloutReason) -> Option<Decision> {
-    is_due.then_some(Decision {
+fn rolled_back_if(is_due: bool, reason: RolloutReason) -> Option<StageTransition> {
+    is_due.then_some(StageTransition {
         stage: RolloutStage::RolledBack,
         reason,
     })
@@ -264,12 +264,12 @@
         || new_slots >= SLOTS_OF_RUNNING * f64::from(view.in_progress)
 }
 
-fn after_moving(view: &RolloutView) -> Option<Decision> {
+fn after_moving(view: &RolloutView) -> Option<StageTransition> {
     if view.new_slots == 0 && view.old_slots > 0 {
-        return Decision::new(RolloutStage::RolledBack, RolloutReason::NoEndpoints);
+        return StageTransition::new(RolloutStage::RolledBack, RolloutReason::NoEndpoints);
     }
     if view.old_idle_ms >= IDLE_MS || view.old_slots == 0 {
-        return Decision::new(RolloutStage::Done, RolloutReason::Moved);
+        return StageTransition::new(RolloutStage::Done, RolloutReason::Moved);
     }
     None
 }
--- a/crates/routing/src/rules.rs
+++ b/crates/routing/src/rules.rs
@@ -191,7 +191,7 @@
     /// one with the longest prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
-        routes.iter().find(|route| route.takes(path))
+        routes.iter().find(|route| route.matches(path))
     }
 
     /// The objective by which a route's requests are taken into an overrun
--- a/crates/routing/src/spread.rs
+++ b/crates/routing/src/spread.rs
@@ -20,7 +20,7 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it is in the host's own availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Whether late answers speak against it.
     pub is_suspect: bool,
     /// Whether it was seen to hold the request's prefix.
@@ -81,7 +81,7 @@
     pub key: Option<KeyHash>,
     /// Requests that other hosts are expected to have sent to the pool since
     /// they reported their loads; 0 if reports are as good as current.
-    pub unseen_arrivals: f64,
+    pub unreported_arrivals: f64,
     /// Any number: breaks ties, so that hosts with the same view do not all
     /// pick the same endpoint.
     pub draw: u64,
@@ -221,7 +221,7 @@
     usable: &[usize],
     request: &PlacementRequest,
 ) -> Option<usize> {
-    if request.unseen_arrivals < UNSEEN_MIN {
+    if request.unreported_arrivals < UNSEEN_MIN {
         return least_loaded(candidates, usable, request.draw);
     }
     let mut fills: Vec<Fill> = usable
@@ -230,7 +230,7 @@
         .collect();
     fills.sort_by(|a, b| a.share.total_cmp(&b.share));
     const OWN_REQUEST: f64 = 1.0;
-    let level = level(&fills, request.unseen_arrivals + OWN_REQUEST);
+    let level = level(&fills, request.unreported_arrivals + OWN_REQUEST);
     let room = |fill: &Fill| fill.slots * (level - fill.share).max(0.0);
     let mut drawn = unit_interval(request.draw) * fills.iter().map(room).sum::<f64>();
     let chosen = fills.iter().find(|fill| {
@@ -251,7 +251,11 @@
 impl Fill {
     fn of(index: usize, candidate: &Candidate) -> Self {
         let slots = f64::from(candidate.slots.max(1));
-        let bonus = if candidate.is_near { NEAR_BONUS } else { 0.0 };
+        let bonus = if candidate.is_same_zone {
+            NEAR_BONUS
+        } else {
+            0.0
+        };
         Self {
             index,
             slots,
@@ -298,7 +302,7 @@
     };
     usable.iter().copied().min_by(|&a, &b| {
         let by_load = share(a).total_cmp(&share(b));
-        let by_zone = || candidates[b].is_near.cmp(&candidates[a].is_near);
+        let by_zone = || candidates[b].is_same_zone.cmp(&candidates[a].is_same_zone);
         by_load
             .then_with(by_zone)
             .then_with(|| tie(b).total_cmp(&tie(a)))
--- a/crates/routing/src/store_version.rs
+++ b/crates/routing/src/store_version.rs
@@ -18,8 +18,8 @@
 /// ```
 /// use chalkrock_routing::StoreVersion;
 ///
-/// let before = StoreVersion::of_era(1, 900);
-/// let after = StoreVersion::of_era(2, 700);
+/// let before = StoreVersion::in_era(1, 900);
+/// let after = StoreVersion::in_era(2, 700);
 /// assert!(after > before);
 /// assert_eq!((after.era(), after.number()), (2, 700));
 /// ```
@@ -29,10 +29,10 @@
 
 impl StoreVersion {
     /// The largest number that a version can hold: no store gets so far.
-    pub const LAST_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
+    pub const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 
     /// The version of a number in an era.
-    pub fn of_era(era: u64, number: u64) -> Self {
+    pub fn in_era(era: u64, number: u64) -> Self {
         Self(era << NUMBER_BITS | number)
     }
 
@@ -43,6 +43,6 @@
 
     /// The number that the store itself gave.
     pub fn number(self) -> u64 {
-        self.0 & Self::LAST_NUMBER
+        self.0 & Self::MAX_NUMBER
     }
 }
--- a/crates/routing/src/readers.rs
+++ b/crates/routing/src/subscribers.rs
@@ -35,17 +35,17 @@
 
 /// A host of the own zone that is heard.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeardHost {
+pub struct ZonePeer {
     /// The hash of its name.
     pub hash: MemberHash,
     /// How it stands to the platform.
-    pub reading: SubscriptionRole,
+    pub role: SubscriptionRole,
     /// What it may use of a processor, in thousandths of a core.
     pub capacity_millicores: u16,
 }
 
 /// Relays of a zone: one that falls silent is missed by none.
-pub const RELAYS: usize = 2;
+pub const RELAYS_PER_ZONE: usize = 2;
 /// Hosts of a zone from which on they report to relays only. Among fewer, each
 /// hears all others with fewer datagrams than relays would cost them.
 const RELAYED_FROM: usize = 24;
@@ -67,12 +67,12 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::doubting_part;
+/// use chalkrock_routing::stale_poll_fraction;
 ///
-/// assert_eq!(doubting_part(8), 1.0);
-/// assert_eq!(doubting_part(250), 0.001);
+/// assert_eq!(stale_poll_fraction(8), 1.0);
+/// assert_eq!(stale_poll_fraction(250), 0.001);
 /// ```
-pub fn doubting_part(hosts: usize) -> f64 {
+pub fn stale_poll_fraction(hosts: usize) -> f64 {
     if hosts <= SMALL_UP_TO {
         return 1.0;
     }
@@ -80,7 +80,7 @@
 }
 
 /// How many hosts of so many read.
-pub fn readers_wanted(hosts: usize) -> usize {
+pub fn subscribers_needed(hosts: usize) -> usize {
     if hosts <= SMALL_UP_TO {
         return hosts.min(LEAST_OF_SMALL);
     }
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneView<'a> {
     /// The other hosts of the zone that are heard; in a small fleet, all.
-    pub others: &'a [HeardHost],
+    pub others: &'a [ZonePeer],
     /// Hosts of all zones, as far as they are known.
     pub hosts: usize,
     /// Zones that share the readers, as far as they are known; 1 in a small
@@ -107,13 +107,13 @@
 
     /// Whether a host comes among the first to read, whoever does so far: where
     /// no one reads yet, these begin and the others wait to hear of them.
-    pub fn is_first_choice(&self, own: &HeardHost) -> bool {
-        is_among_first(own, self.others.iter(), self.readers_wanted())
+    pub fn is_preferred_subscriber(&self, own: &ZonePeer) -> bool {
+        is_among_first(own, self.others.iter(), self.subscribers_needed())
     }
 
     /// Readers of the zone; of a small fleet, all.
-    fn readers_wanted(&self) -> usize {
-        readers_wanted(self.hosts).div_ceil(self.zones.max(1))
+    fn subscribers_needed(&self) -> usize {
+        subscribers_needed(self.hosts).div_ceil(self.zones.max(1))
     }
 
     /// Whether a host reads the platform.
@@ -122,35 +122,35 @@
     ///
     /// ```
     /// use chalkrock_core::rendezvous::MemberHash;
-    /// use chalkrock_routing::{HeardHost, SubscriptionRole, ZoneView};
+    /// use chalkrock_routing::{ZonePeer, SubscriptionRole, ZoneView};
     ///
-    /// let own = HeardHost {
+    /// let own = ZonePeer {
     ///     hash: MemberHash::of("host-1"),
     ///     reading: SubscriptionRole::No,
     ///     capacity_millicores: 250,
     /// };
     /// let alone = ZoneView { others: &[], hosts: 1, zones: 1 };
-    /// assert!(alone.reads_platform(&own));
+    /// assert!(alone.is_subscriber(&own));
     /// ```
-    pub fn reads_platform(&self, own: &HeardHost) -> bool {
-        let wanted = self.readers_wanted();
+    pub fn is_subscriber(&self, own: &ZonePeer) -> bool {
+        let wanted = self.subscribers_needed();
         if wanted > self.others.len() {
             return true;
         }
         let answered = || {
             let others = self.others.iter();
-            others.filter(|host| host.reading == SubscriptionRole::Answered)
+            others.filter(|host| host.role == SubscriptionRole::Answered)
         };
         let unanswered = self.others.iter();
-        let unanswered = unanswered.filter(|host| host.reading == SubscriptionRole::Unanswered);
+        let unanswered = unanswered.filter(|host| host.role == SubscriptionRole::Unanswered);
         let is_short = answered().count() < wanted.div_ceil(2);
         if is_short && !self.is_large() {
             return true;
         }
-        if own.reading == SubscriptionRole::Answered {
+        if own.role == SubscriptionRole::Answered {
             return is_among_first(own, answered(), wanted);
         }
-        if own.reading == SubscriptionRole::Unanswered && is_short {
+        if own.role == SubscriptionRole::Unanswered && is_short {
             return is_among_first(own, unanswered, UNANSWERED_MAX);
         }
         // Readers stay as hosts come, for each new one reads all anew; but a
@@ -175,25 +175,25 @@
         let may_read = self
             .others
             .iter()
-            .filter(|host| host.reading == SubscriptionRole::No);
+            .filter(|host| host.role == SubscriptionRole::No);
         is_among_first(own, may_read, vacant)
     }
 
     /// The place of a host among the relays, which tell the other zones of this
     /// one, and this one of them; `None` if it is no relay.
-    pub fn relay_place(&self, own: &HeardHost) -> Option<usize> {
-        let place = self.place(own);
-        (place < RELAYS).then_some(place)
+    pub fn relay_rank(&self, own: &ZonePeer) -> Option<usize> {
+        let place = self.rank(own);
+        (place < RELAYS_PER_ZONE).then_some(place)
     }
 
     /// How many of the others come before a host.
-    pub fn place(&self, own: &HeardHost) -> usize {
+    pub fn rank(&self, own: &ZonePeer) -> usize {
         count_before(own, self.others.iter())
     }
 
     /// Whether the hosts of the zone report to relays only, and relays sum up
     /// for them; `is_so` if that is how it has been.
-    pub fn is_relayed(&self, is_so: bool) -> bool {
+    pub fn uses_relays(&self, is_so: bool) -> bool {
         let from = if is_so { RELAYED_DOWN_TO } else { RELAYED_FROM };
         self.is_large() && 1 + self.others.len() >= from
     }
@@ -201,19 +201,19 @@
 
 /// Whether fewer than `wanted` of the others come before a host.
 fn is_among_first<'a>(
-    own: &HeardHost,
-    others: impl Iterator<Item = &'a HeardHost>,
+    own: &ZonePeer,
+    others: impl Iterator<Item = &'a ZonePeer>,
     wanted: usize,
 ) -> bool {
     count_before(own, others) < wanted
 }
 
-fn count_before<'a>(own: &HeardHost, others: impl Iterator<Item = &'a HeardHost>) -> usize {
+fn count_before<'a>(own: &ZonePeer, others: impl Iterator<Item = &'a ZonePeer>) -> usize {
     others.filter(|host| rank(host) > rank(own)).count()
 }
 
 /// Readers and relays do the work of others, so that strong hosts come first.
-fn rank(host: &HeardHost) -> (u16, f64) {
+fn rank(host: &ZonePeer) -> (u16, f64) {
     const READERS: KeyHash = KeyHash(0);
     let among_equals = score(READERS, host.hash, 1.0);
     (host.capacity_millicores, among_equals)
--- a/crates/routing/src/follow_times.rs
+++ b/crates/routing/src/subscription_timings.rs
@@ -6,12 +6,12 @@
 //! each is a call that is paid for, but a host can't tell a quiet store from a
 //! silent one by them. So hosts tell each other how long ago the store last
 //! answered them. While any host is answered, what is new reaches the others
-//! through it; once none has been for [`stale_after_ms`], each host, after a
+//! through it; once none has been for [`staleness_timeout_ms`], each host, after a
 //! random delay of its own, asks with a call that is answered at once. The
 //! first answer ends the doubt for all, so that this costs next to nothing
 //! while hosts' waits end at different times.
 //!
-//! [`stale_after_ms`]: FollowTimes::stale_after_ms
+//! [`staleness_timeout_ms`]: SubscriptionTimings::staleness_timeout_ms
 
 /// What a call that is answered at once takes at most while the store is in
 /// order: tens of milliseconds, and a slow host's own delay.
@@ -22,7 +22,7 @@
 /// within about two seconds of its return.
 const LAPSE_GRACE_MS: u64 = 2_000;
 /// Parts of the bound. What a calm day costs falls with the first; the others
-/// are what calls and pauses need, and [`FollowTimes::worst_ms`] adds up to
+/// are what calls and pauses need, and [`SubscriptionTimings::worst_case_ms`] adds up to
 /// less than the bound.
 const STALE_PART: f64 = 0.45;
 const SPREAD_PART: f64 = 0.10;
@@ -39,35 +39,35 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::FollowTimes;
+/// use chalkrock_routing::SubscriptionTimings;
 ///
-/// let times = FollowTimes::within(3_000);
-/// assert!(times.worst_ms() < 3_000);
+/// let times = SubscriptionTimings::within(3_000);
+/// assert!(times.worst_case_ms() < 3_000);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FollowTimes {
+pub struct SubscriptionTimings {
     /// The bound. Longer without an answer to any host, the store was away.
     pub bound_ms: u64,
     /// Time after the store's return for which entries are kept that lapsed
     /// while it was away: endpoints that live are listed again by then.
     pub lapse_grace_ms: u64,
     /// Time without an answer of the store to any host after which one asks.
-    pub stale_after_ms: u64,
+    pub staleness_timeout_ms: u64,
     /// Most of the random delay that hosts add, so that one of them asks.
-    pub stale_spread_ms: u64,
+    pub staleness_jitter_ms: u64,
     /// Time without an answer after which a call is sent once more, beside the
     /// first: one sent into a silence is lost, one to a slow store is not.
-    pub hedge_after_ms: u64,
+    pub hedge_delay_ms: u64,
     /// Longest pause after a call that failed.
-    pub pause_max_ms: u64,
+    pub max_retry_pause_ms: u64,
     /// Pause after an answer, so that changes that come together are one.
-    pub gather_ms: u64,
+    pub batch_window_ms: u64,
     /// The same for a reader of a zone whose changes other zones' readers tell
     /// it anyhow: each change is an answer to every reader that waits, and each
     /// answer is paid for.
-    pub standby_gather_ms: u64,
+    pub standby_batch_window_ms: u64,
     /// Time that the store is given to tell by itself what another host knows.
-    pub patience_ms: u64,
+    pub store_wait_ms: u64,
     /// Time without a first byte after which taking what is missing from
     /// another host is given up.
     pub pull_timeout_ms: u64,
@@ -78,28 +78,28 @@
     pub stall_ms: u64,
 }
 
-impl FollowTimes {
+impl SubscriptionTimings {
     /// Calls that are sent beside each other before all are given up.
-    pub const HEDGES: u32 = 3;
+    pub const MAX_HEDGES: u32 = 3;
     /// The least bound that can be kept: below, calls to a store in order
     /// would be given up.
     pub const BOUND_MIN_MS: u64 = 1_500;
 
     /// Times that add up to less than a bound, or than
     /// [`BOUND_MIN_MS`](Self::BOUND_MIN_MS) if that is more.
-    pub fn within(bound_ms: u64) -> Self {
+    pub fn for_bound(bound_ms: u64) -> Self {
         let bound_ms = bound_ms.max(Self::BOUND_MIN_MS);
         let part = |part: f64| (part * bound_ms as f64) as u64;
         Self {
             bound_ms,
             lapse_grace_ms: LAPSE_GRACE_MS.min(bound_ms),
-            stale_after_ms: part(STALE_PART),
-            stale_spread_ms: part(SPREAD_PART),
-            hedge_after_ms: part(HEDGE_PART),
-            pause_max_ms: part(PAUSE_PART),
-            gather_ms: part(GATHER_PART),
-            standby_gather_ms: part(STANDBY_GATHER_PART),
-            patience_ms: part(PATIENCE_PART),
+            staleness_timeout_ms: part(STALE_PART),
+            staleness_jitter_ms: part(SPREAD_PART),
+            hedge_delay_ms: part(HEDGE_PART),
+            max_retry_pause_ms: part(PAUSE_PART),
+            batch_window_ms: part(GATHER_PART),
+            standby_batch_window_ms: part(STANDBY_GATHER_PART),
+            store_wait_ms: part(PATIENCE_PART),
             pull_timeout_ms: part(PULL_PART),
             stall_ms: part(STALL_PART),
         }
@@ -108,14 +108,14 @@
     /// The longest time from the end of a silence until a host knows what
     /// changed meanwhile, if other hosts ask first and taking it from one of
     /// them fails once.
-    pub fn worst_ms(&self) -> u64 {
-        let until_a_host_asks = self.stale_after_ms + self.stale_spread_ms;
-        let until_a_lost_call_is_repeated = self.hedge_after_ms + self.pause_max_ms;
+    pub fn worst_case_ms(&self) -> u64 {
+        let until_a_host_asks = self.staleness_timeout_ms + self.staleness_jitter_ms;
+        let until_a_lost_call_is_repeated = self.hedge_delay_ms + self.max_retry_pause_ms;
         until_a_host_asks.max(until_a_lost_call_is_repeated)
             + ANSWER_MS
-            + self.gather_ms
+            + self.batch_window_ms
             + SEND_MS
-            + self.patience_ms
+            + self.store_wait_ms
             + self.pull_timeout_ms
             + ANSWER_MS
     }
--- a/crates/routing/src/pause.rs
+++ b/crates/routing/src/suspension.rs
@@ -15,9 +15,9 @@
 
 /// A time in which a host did nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pause {
+pub struct Suspension {
     /// How long it was.
-    pub length_ms: u64,
+    pub duration_ms: u64,
     /// What of it the steady clock did not count.
     pub uncounted_ms: u64,
 }
@@ -36,15 +36,19 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::{ClockReading, pause_between};
+/// use chalkrock_routing::{ClockReading, detect_suspension};
 ///
 /// let before = ClockReading { steady_ms: 10, boot_ms: 50_000 };
 /// let after = ClockReading { steady_ms: 210, boot_ms: 55_200 };
-/// let pause = pause_between(before, after, 200).expect("a suspension");
+/// let pause = detect_suspension(before, after, 200).expect("a suspension");
 /// assert_eq!(pause.length_ms, 5_000);
 /// assert_eq!(pause.uncounted_ms, 5_000);
 /// ```
-pub fn pause_between(before: ClockReading, after: ClockReading, due_ms: u64) -> Option<Pause> {
+pub fn detect_suspension(
+    before: ClockReading,
+    after: ClockReading,
+    due_ms: u64,
+) -> Option<Suspension> {
     let steady_ms = after.steady_ms.saturating_sub(before.steady_ms);
     let boot_ms = after.boot_ms.saturating_sub(before.boot_ms);
     let difference_ms = boot_ms.saturating_sub(steady_ms);
@@ -52,8 +56,8 @@
     let uncounted_ms = if is_suspension { difference_ms } else { 0 };
     let length_ms = (steady_ms + uncounted_ms).saturating_sub(due_ms);
     let is_stop = length_ms >= STOPPED_MIN_MS;
-    (is_suspension || is_stop).then_some(Pause {
-        length_ms: length_ms.max(uncounted_ms),
+    (is_suspension || is_stop).then_some(Suspension {
+        duration_ms: length_ms.max(uncounted_ms),
         uncounted_ms,
     })
 }
--- a/crates/routing/src/zone_loads.rs
+++ b/crates/routing/src/zone_loads.rs
@@ -12,7 +12,7 @@
 
 /// How the word of another zone came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SumPath {
+pub enum AggregatePath {
     /// From a relay of that zone.
     Direct,
     /// From a relay of this zone, which had it from one of that zone. It is
@@ -44,7 +44,7 @@
 /// The sum of one zone's requests, or of the whole fleet's for one zone, or a
 /// part of it, as a relay tells it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneSum {
+pub struct ZoneAggregate {
     /// The short hash of the zone that is summed up, or that is told.
     pub zone: u32,
     /// Hosts that are summed up.
@@ -55,14 +55,14 @@
     pub counts: Vec<EndpointCount>,
 }
 
-impl ZoneSum {
+impl ZoneAggregate {
     /// Cuts a sum into parts of at most so many endpoints. Each part stands
     /// for itself: one that is lost leaves the others right.
     ///
     /// # Panics
     ///
     /// If `most` is 0.
-    pub fn split(self, most: usize) -> Vec<ZoneSum> {
+    pub fn split(self, most: usize) -> Vec<ZoneAggregate> {
         let mut parts = Vec::new();
         let mut first = self.range.first;
         let mut chunks = self.counts.chunks(most).peekable();
@@ -70,7 +70,7 @@
             let is_last = chunks.peek().is_none();
             let last = chunk.last().map_or(first, |count| count.endpoint);
             let last = if is_last { self.range.last } else { last };
-            parts.push(ZoneSum {
+            parts.push(ZoneAggregate {
                 range: HashRange { first, last },
                 counts: chunk.to_vec(),
                 ..self
@@ -90,7 +90,7 @@
     hosts: u32,
     counts: BTreeMap<u32, u32>,
     heard_at_ms: u64,
-    path: SumPath,
+    path: AggregatePath,
 }
 
 impl KnownZone {
@@ -100,7 +100,7 @@
 
     /// Takes a newer part. Returns what it replaces. Counts that are not of
     /// the part's range are not taken.
-    fn take(&mut self, part: &ZoneSum) -> Vec<EndpointCount> {
+    fn take(&mut self, part: &ZoneAggregate) -> Vec<EndpointCount> {
         let replaced = self.within(part.range);
         for count in &replaced {
             self.counts.remove(&count.endpoint);
@@ -147,8 +147,8 @@
     pub(crate) fn merge(
         &mut self,
         relay: H,
-        part: &ZoneSum,
-        path: SumPath,
+        part: &ZoneAggregate,
+        path: AggregatePath,
         now_ms: u64,
         others: &mut InFlightCounters,
     ) {
@@ -201,10 +201,11 @@
     }
 
     /// What came from the zone itself, to pass on.
-    pub(crate) fn direct(&self, zone: u32, now_ms: u64) -> Option<ZoneSum> {
-        let may_pass = |known: &KnownZone| known.path == SumPath::Direct && known.is_recent(now_ms);
+    pub(crate) fn direct(&self, zone: u32, now_ms: u64) -> Option<ZoneAggregate> {
+        let may_pass =
+            |known: &KnownZone| known.path == AggregatePath::Direct && known.is_recent(now_ms);
         let (_, known) = best(&self.relays, may_pass)?;
-        Some(ZoneSum {
+        Some(ZoneAggregate {
             zone,
             hosts: known.hosts,
             range: HashRange::ALL,
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -10,7 +10,7 @@
 
 fn occupancy(in_progress: u32, service_ms: f64) -> PoolOccupancy {
     PoolOccupancy {
-        places: PLACES,
+        slots: PLACES,
         in_progress,
         service_ms,
     }
@@ -45,7 +45,7 @@
 #[test]
 fn chance_is_whole_for_short_waits() {
     let busy = PoolOccupancy {
-        places: 6,
+        slots: 6,
         in_progress: 10,
         service_ms: 47.0,
     };
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use chalkrock_core::{BuildVersion, Endpoint, EndpointKind, HostState, Incarnation};
-use chalkrock_routing::{BACKOFF_MAX_MS, BackoffChange, Backoffs, Member};
+use chalkrock_routing::{BACKOFF_MAX_MS, BackoffChange, Backoffs, PoolMember};
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-fn member(incarnation: u64) -> Member {
+fn member(incarnation: u64) -> PoolMember {
     let endpoint = Endpoint {
         name: "endpoint-1".into(),
         kind: EndpointKind::Service,
@@ -20,7 +20,7 @@
         state: HostState::Live,
         build: BuildVersion::default(),
     };
-    Member {
+    PoolMember {
         hash: endpoint.start_hash(),
         endpoint: Arc::new(endpoint),
         is_evacuated: false,
@@ -81,10 +81,10 @@
             let mut backoffs = Backoffs::default();
             let mut last_ms = 0;
             for (at_ms, asked_ms) in words {
-                backoffs.asked(&member, *asked_ms, draw, BEGAN_MS + at_ms);
+                backoffs.record_request(&member, *asked_ms, draw, BEGAN_MS + at_ms);
                 last_ms = *at_ms;
             }
-            let left_ms = backoffs.left_ms(start, BEGAN_MS + last_ms);
+            let left_ms = backoffs.remaining_ms(start, BEGAN_MS + last_ms);
             let ended_ms = if left_ms == 0 { 0 } else { last_ms + left_ms };
             assert_that!(ended_ms, all!(ge(over.0), le(over.1)), "{name}");
             let is_active = backoffs.is_active(start, BEGAN_MS + last_ms);
@@ -96,7 +96,7 @@
 #[test]
 fn backoff_is_of_one_start() {
     let mut backoffs = Backoffs::default();
-    backoffs.asked(&member(1), 3_000, 0.5, 0);
+    backoffs.record_request(&member(1), 3_000, 0.5, 0);
     assert_that!(backoffs.is_active(member(1).hash.short(), 10), eq(true));
     assert_that!(backoffs.is_active(member(2).hash.short(), 10), eq(false));
     assert_that!(backoffs.count(10), eq(1));
@@ -105,11 +105,11 @@
 #[test]
 fn backoff_is_told_once_as_it_begins_and_ends() {
     let mut backoffs = Backoffs::default();
-    let begun = backoffs.asked(&member(1), 1_000, 0.0, 0);
+    let begun = backoffs.record_request(&member(1), 1_000, 0.0, 0);
     assert_that!(begun, eq(BackoffChange::Begun { for_ms: 1_010 }));
-    let again = backoffs.asked(&member(1), 1_000, 0.0, 5);
+    let again = backoffs.record_request(&member(1), 1_000, 0.0, 5);
     assert_that!(again, eq(BackoffChange::Lengthened { for_ms: 1_010 }));
-    let shorter = backoffs.asked(&member(1), 10, 0.0, 6);
+    let shorter = backoffs.record_request(&member(1), 10, 0.0, 6);
     assert_that!(shorter, eq(BackoffChange::None));
     assert_that!(backoffs.expire(1_014), is_empty());
     assert_that!(backoffs.expire(1_015), len(eq(1)));
@@ -123,14 +123,14 @@
 #[test]
 fn return_begins_with_requests_that_may_be_sent_elsewhere() {
     let mut backoffs = Backoffs::default();
-    backoffs.asked(&member(1), 1_000, 0.0, 0);
+    backoffs.record_request(&member(1), 1_000, 0.0, 0);
     let start = member(1).hash.short();
     assert_that!(backoffs.prefers_others(start, true, 1_010), eq(false));
     assert_that!(backoffs.prefers_others(start, false, 1_010), eq(true));
-    backoffs.sent(start, 1_010);
+    backoffs.record_sent(start, 1_010);
     assert_that!(backoffs.prefers_others(start, true, 1_020), eq(true));
     assert_that!(backoffs.prefers_others(start, true, 1_210), eq(false));
-    backoffs.answered(start, 1_220);
+    backoffs.record_answered(start, 1_220);
     assert_that!(backoffs.prefers_others(start, false, 1_220), eq(false));
     assert_that!(backoffs.prefers_others(start, false, 2_010), eq(false));
 }
@@ -138,7 +138,7 @@
 #[test]
 fn return_without_requests_that_may_be_sent_elsewhere_is_over_by_itself() {
     let mut backoffs = Backoffs::default();
-    backoffs.asked(&member(1), 1_000, 0.0, 0);
+    backoffs.record_request(&member(1), 1_000, 0.0, 0);
     let start = member(1).hash.short();
     assert_that!(backoffs.prefers_others(start, false, 2_009), eq(true));
     assert_that!(backoffs.prefers_others(start, false, 2_010), eq(false));
@@ -158,7 +158,7 @@
         .map(|host| {
             let mut backoffs = Backoffs::default();
             let draw = host as f64 / HOSTS as f64;
-            backoffs.asked(&member, 3_000, draw, 0);
+            backoffs.record_request(&member, 3_000, draw, 0);
             backoffs
         })
         .collect();
@@ -167,7 +167,7 @@
         for backoffs in &mut hosts {
             let is_open = !backoffs.is_active(start, now_ms);
             if is_open && !backoffs.prefers_others(start, true, now_ms) {
-                backoffs.sent(start, now_ms);
+                backoffs.record_sent(start, now_ms);
                 sent_at_ms.push(now_ms);
             }
         }
@@ -219,12 +219,12 @@
             now_ms += pause_ms;
             match step {
                 Step::Asked { asked_ms, draw } => {
-                    backoffs.asked(&member, asked_ms, draw, now_ms);
+                    backoffs.record_request(&member, asked_ms, draw, now_ms);
                     ends_ms = ends_ms.max(now_ms + asked_ms);
                     latest_ms = latest_ms.max(now_ms + asked_ms + asked_ms / 5 + 1);
                 }
-                Step::Sent => backoffs.sent(start, now_ms),
-                Step::Answered => backoffs.answered(start, now_ms),
+                Step::Sent => backoffs.record_sent(start, now_ms),
+                Step::Answered => backoffs.record_answered(start, now_ms),
                 Step::Expired => {
                     backoffs.expire(now_ms);
                 }
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -10,7 +10,9 @@
 };
 
 fn taken(budget: &mut WindowBudget, now_ms: u64, hosts: usize, tries: usize) -> usize {
-    (0..tries).filter(|_| budget.take(now_ms, hosts)).count()
+    (0..tries)
+        .filter(|_| budget.try_spend(now_ms, hosts))
+        .count()
 }
 
 #[test]
@@ -19,7 +21,7 @@
         let mut all = 0;
         for _ in 0..hosts {
             let mut budget = WindowBudget::new(RULES);
-            (0..50).for_each(|_| budget.request(0));
+            (0..50).for_each(|_| budget.record_request(0));
             all += taken(&mut budget, 0, hosts, 1_000);
         }
         let whole = 0.2 * 50.0 * hosts as f64 + 56.0;
@@ -33,9 +35,9 @@
     let mut taken_at_ms = Vec::new();
     for now_ms in (0..60_000).step_by(100) {
         if now_ms % 1_000 == 0 {
-            budget.request(now_ms);
+            budget.record_request(now_ms);
         }
-        while budget.take(now_ms, 8) {
+        while budget.try_spend(now_ms, 8) {
             taken_at_ms.push(now_ms);
         }
     }
@@ -65,6 +67,6 @@
     };
     let mut budget = WindowBudget::new(rules);
     assert_that!(taken(&mut budget, 0, 8, 100), eq(0));
-    (0..100).for_each(|_| budget.request(0));
+    (0..100).for_each(|_| budget.record_request(0));
     assert_that!(taken(&mut budget, 0, 8, 100), eq(16));
 }
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -21,7 +21,7 @@
 fn host(bound: ColdBound, own: MemberHash, known: Vec<MemberHash>) -> ColdEndpoints {
     let mut cold = ColdEndpoints::new(Some(bound));
     cold.set_hosts(own, known, false);
-    cold.told(ENDPOINT, COLD_MS, 0);
+    cold.record_report(ENDPOINT, COLD_MS, 0);
     cold
 }
 
@@ -39,12 +39,20 @@
         ("bears any number", Some(bound), 0.0, false),
         ("bound", Some(bound), 2.0, true),
     ];
-    for (case, bound, bears_per_s, expected) in cases {
+    for (case, bound, sustained_per_s, expected) in cases {
         let mut cold = ColdEndpoints::new(bound);
-        cold.told(7, 3_000, 0);
-        assert_that!(cold.is_bounded(7, bears_per_s, 10), eq(expected), "{case}");
-        assert_that!(cold.is_bounded(8, bears_per_s, 10), eq(false), "{case}");
-        assert_that!(cold.is_bounded(7, bears_per_s, 3_000), eq(false), "{case}");
+        cold.record_report(7, 3_000, 0);
+        assert_that!(
+            cold.is_bounded(7, sustained_per_s, 10),
+            eq(expected),
+            "{case}"
+        );
+        assert_that!(cold.is_bounded(8, sustained_per_s, 10), eq(false), "{case}");
+        assert_that!(
+            cold.is_bounded(7, sustained_per_s, 3_000),
+            eq(false),
+            "{case}"
+        );
     }
 }
 
@@ -62,7 +70,7 @@
         (30.0, bound(1.5, 5.0), 1, 1, 25.0),
     ];
     for (bears, bound, hosts, senders, rate) in cases {
-        let share = ColdShare::of(&bound, bears, hosts);
+        let share = ColdShare::new(&bound, bears, hosts);
         let told = format!("{bears} a second, {bound:?}, {hosts} hosts");
         assert_that!(share.senders, eq(senders), "{told}");
         assert_that!(share.per_s * senders as f64, approx_eq(rate), "{told}");
@@ -71,7 +79,7 @@
 
 #[test]
 fn share_is_none_where_the_bound_bears_no_second_sender() {
-    let share = ColdShare::of(&bound(1.0, 0.5), 1.0, 16);
+    let share = ColdShare::new(&bound(1.0, 0.5), 1.0, 16);
     assert_that!(share.per_s, eq(0.0));
 }
 
@@ -84,9 +92,9 @@
         ("it is not of the zone", one(hosts(3)), false, false),
         ("it is a sender", one(hosts(3)), true, true),
     ];
-    for (name, cold, is_near, expected) in cases {
+    for (name, cold, is_same_zone, expected) in cases {
         assert_that!(
-            cold.may_send(ENDPOINT, 13.0, is_near, 10),
+            cold.may_send(ENDPOINT, 13.0, is_same_zone, 10),
             eq(expected),
             "{name}"
         );
@@ -99,20 +107,20 @@
     let mut cold = host(bound(1.5, 5.0), own, vec![own]);
     assert_that!(cold.is_cold(ENDPOINT, COLD_MS - 1), eq(true));
     assert_that!(cold.is_cold(ENDPOINT, COLD_MS), eq(false));
-    cold.told(ENDPOINT, 500, 1_000);
-    assert_that!(cold.left_ms(ENDPOINT, 1_100), eq(400));
-    cold.told(ENDPOINT, 0, 1_200);
+    cold.record_report(ENDPOINT, 500, 1_000);
+    assert_that!(cold.remaining_ms(ENDPOINT, 1_100), eq(400));
+    cold.record_report(ENDPOINT, 0, 1_200);
     assert_that!(cold.is_cold(ENDPOINT, 1_200), eq(false));
-    cold.doubt(8, 3_000, 1_000);
-    assert_that!(cold.left_ms(8, 2_000), eq(2_000));
-    cold.told(8, 0, 2_000);
+    cold.presume_cold(8, 3_000, 1_000);
+    assert_that!(cold.remaining_ms(8, 2_000), eq(2_000));
+    cold.record_report(8, 0, 2_000);
     assert_that!(
-        cold.left_ms(8, 2_000),
+        cold.remaining_ms(8, 2_000),
         eq(2_000),
         "an entry from before says nothing"
     );
-    cold.told(8, 700, 2_100);
-    assert_that!(cold.left_ms(8, 2_100), eq(700));
+    cold.record_report(8, 700, 2_100);
+    assert_that!(cold.remaining_ms(8, 2_100), eq(700));
 }
 
 #[test]
@@ -120,11 +128,11 @@
     let own = hosts(1)[0];
     let mut cold = host(bound(1.5, 5.0), own, vec![own]);
     cold.expire(COLD_MS + 100);
-    cold.doubt(ENDPOINT, 3_000, COLD_MS + 200);
+    cold.presume_cold(ENDPOINT, 3_000, COLD_MS + 200);
     assert_that!(cold.is_cold(ENDPOINT, COLD_MS + 300), eq(false));
     cold.expire(COLD_MS + 60_000);
     assert_that!(cold.is_empty(), eq(true));
-    cold.doubt(ENDPOINT, 3_000, COLD_MS + 60_000);
+    cold.presume_cold(ENDPOINT, 3_000, COLD_MS + 60_000);
     assert_that!(cold.is_cold(ENDPOINT, COLD_MS + 60_100), eq(true));
 }
 
@@ -133,7 +141,7 @@
     let own = hosts(1)[0];
     let without = {
         let mut cold = ColdEndpoints::new(None);
-        cold.told(ENDPOINT, COLD_MS, 0);
+        cold.record_report(ENDPOINT, COLD_MS, 0);
         cold
     };
     let with = host(bound(1.5, 5.0), own, Vec::new());
@@ -186,7 +194,7 @@
                 }
             }
             if cold.may_send(ENDPOINT, bears, true, now_ms) {
-                cold.sent(ENDPOINT, now_ms);
+                cold.record_sent(ENDPOINT, now_ms);
                 sent.push(now_ms);
             }
         }
@@ -214,7 +222,7 @@
     ) {
         let bound = bound(1.5, slack);
         // As many as a share leaves room for.
-        let share = ColdShare::of(&bound, bears, count);
+        let share = ColdShare::new(&bound, bears, count);
         let strays = &strays[..strays.len().min(1 + share.senders / 3)];
         let sent = send_all(bound, bears, count, strays, &restarts);
         let most = (1.5 * bears + slack).floor() as usize;
@@ -232,7 +240,7 @@
     let new = |is_new: bool| {
         let mut cold = host(bound, all[0], Vec::new());
         cold.set_hosts(all[0], vec![all[0], all[1]], is_new);
-        cold.sent(ENDPOINT, 0);
+        cold.record_sent(ENDPOINT, 0);
         cold.may_send(ENDPOINT, 4.0, true, 600)
     };
     assert_that!(new(false), eq(true));
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -254,14 +254,14 @@
 
     fn place(&mut self, host: usize, prefix: usize) -> Option<usize> {
         let load = |engine: &Engine| match self.knowledge {
-            Knowledge::Reports => self.loads[host].of(engine.hash.short()),
+            Knowledge::Reports => self.loads[host].in_progress(engine.hash.short()),
             Knowledge::Oracle => engine.running,
         };
         let candidate = |(index, engine): (usize, &Engine)| Candidate {
             hash: engine.hash,
             load: load(engine),
             slots: SLOTS,
-            is_near: true,
+            is_same_zone: true,
             is_suspect: false,
             holds_prefix: engine.kept.contains(&prefix),
             is_closed: index < self.setting.closed,
@@ -269,7 +269,7 @@
         let candidates: Vec<Candidate> = self.engines.iter().enumerate().map(candidate).collect();
         let request = PlacementRequest {
             key: Some(KeyHash(prefix as u64)),
-            unseen_arrivals: self.unseen_arrivals(host),
+            unreported_arrivals: self.unreported_arrivals(host),
             draw: self.random.random(),
         };
         choose(&candidates, &request, &RULES).map(|placement| placement.index)
@@ -277,12 +277,13 @@
 
     /// Requests that the others are expected to have sent since they reported.
     /// Between hosts that hear each other it is taken to be none.
-    fn unseen_arrivals(&self, host: usize) -> f64 {
+    fn unreported_arrivals(&self, host: usize) -> f64 {
         if self.setting == NEAR {
             return 0.0;
         }
-        let of_others = |engine: &Engine| self.loads[host].of_others(engine.hash.short());
-        let in_progress: u32 = self.engines.iter().map(of_others).sum();
+        let remote_in_progress =
+            |engine: &Engine| self.loads[host].remote_in_progress(engine.hash.short());
+        let in_progress: u32 = self.engines.iter().map(remote_in_progress).sum();
         let age_ms = self.setting.report_delay_ms + self.setting.report_interval_ms / 2;
         f64::from(in_progress) * age_ms as f64 / SERVICE_MS
     }
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -80,9 +80,9 @@
     let mut table = EndpointTable::default();
     let first = start("a", 5, HostState::Live);
     table.upsert(first.clone());
-    assert_that!(table.takes_work(&first), eq(true));
+    assert_that!(table.accepts_work(&first), eq(true));
     table.upsert(start("a", 9, HostState::Live));
-    assert_that!(table.takes_work(&first), eq(false));
+    assert_that!(table.accepts_work(&first), eq(false));
 }
 
 #[test]
@@ -268,12 +268,12 @@
 }
 
 #[test]
-fn table_names_the_parting_until_they_are_unlisted() {
+fn table_lists_leaving_members_until_they_are_unlisted() {
     let mut table = EndpointTable::default();
     table.upsert(leaving("a"));
-    assert_that!(table.parting(&POOL.into()).len(), eq(1));
+    assert_that!(table.leaving_members(&POOL.into()).len(), eq(1));
     table.remove(&"a".into(), 0);
-    assert_that!(table.parting(&POOL.into()).len(), eq(0));
+    assert_that!(table.leaving_members(&POOL.into()).len(), eq(0));
 }
 
 #[test]
@@ -414,9 +414,9 @@
                 }
             }
             for number in 1..5 {
-                let takes_work = table.takes_work(&start("a", number, HostState::Live));
+                let accepts_work = table.accepts_work(&start("a", number, HostState::Live));
                 let expected = known == Some((number, false, true));
-                prop_assert_eq!(takes_work, expected, "start {}, known {:?}", number, known);
+                prop_assert_eq!(accepts_work, expected, "start {}, known {:?}", number, known);
             }
         }
     }
--- a/crates/routing/tests/evacuations.rs
+++ b/crates/routing/tests/evacuations.rs
@@ -9,7 +9,7 @@
 
 fn state(version: u64, zones: &[&str]) -> Evacuations {
     let zones = zones.iter().map(|zone| ZoneId::from(*zone));
-    Evacuations::as_of(StoreVersion(version), zones)
+    Evacuations::from_snapshot(StoreVersion(version), zones)
 }
 
 fn row(version: u64, zone: &str, is_evacuated: bool) -> EvacuationRow {
@@ -83,7 +83,7 @@
         row(6, "zone-a", false),
         row(8, "zone-b", true),
     ];
-    known.follow(&rows, StoreVersion(9));
+    known.apply_changes(&rows, StoreVersion(9));
     assert_that!(known, eq(&state(9, &["zone-b"])));
 }
 
@@ -95,7 +95,7 @@
         let version = i as u64 + 1;
         rows.push(row(version, ZONES[*zone], *is_evacuated));
         let mut next = states[i].clone();
-        next.follow(&rows[i..], StoreVersion(version));
+        next.apply_changes(&rows[i..], StoreVersion(version));
         states.push(next);
     }
     (rows, states)
@@ -122,7 +122,7 @@
             let index = index.index(states.len());
             if by_feed && index >= newest {
                 // A feed begins no later than what is known, and may repeat some.
-                known.follow(&rows[..index], StoreVersion(index as u64));
+                known.apply_changes(&rows[..index], StoreVersion(index as u64));
             } else {
                 known.merge(&states[index]);
             }
--- a/crates/routing/tests/event_frames.rs
+++ b/crates/routing/tests/event_frames.rs
@@ -16,7 +16,7 @@
             events.push((frame.bytes.to_vec(), frame.id));
         }
     }
-    (events, frames.take_rest().to_vec())
+    (events, frames.take_remaining().to_vec())
 }
 
 #[test]
--- a/crates/routing/tests/fleet_load.rs
+++ b/crates/routing/tests/fleet_load.rs
@@ -1,8 +1,8 @@
 //! Loads that hosts tell each other: late, twice, out of order, or not at all.
 
 use chalkrock_routing::{
-    EndpointCount, FleetLoad, HashRange, HostReport, Merged, OwnReport, REPORT_AGE_MAX_MS, SumPath,
-    ZoneSum,
+    AggregatePath, EndpointCount, FleetLoad, HashRange, HostReport, MergeOutcome,
+    REPORT_AGE_MAX_MS, ReportId, ZoneAggregate,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -26,39 +26,51 @@
     load.begin(ENDPOINT);
     load.merge("b", report(1, 1, 3), 0);
     load.merge("c", report(1, 1, 2), 0);
-    assert_that!(load.of(ENDPOINT), eq(6));
-    assert_that!(load.hosts_heard(0), eq(2));
+    assert_that!(load.in_progress(ENDPOINT), eq(6));
+    assert_that!(load.recent_host_count(0), eq(2));
 }
 
 #[test]
 fn load_takes_only_the_newest_report() {
     let mut load = FleetLoad::default();
-    assert_that!(load.merge("b", report(2, 5, 3), 0), eq(Merged::Taken));
-    assert_that!(load.merge("b", report(2, 5, 9), 0), eq(Merged::Old));
-    assert_that!(load.merge("b", report(2, 4, 9), 0), eq(Merged::Old));
-    assert_that!(load.merge("b", report(1, 99, 9), 0), eq(Merged::Old));
-    assert_that!(load.of(ENDPOINT), eq(3));
+    assert_that!(
+        load.merge("b", report(2, 5, 3), 0),
+        eq(MergeOutcome::Applied)
+    );
+    assert_that!(load.merge("b", report(2, 5, 9), 0), eq(MergeOutcome::Stale));
+    assert_that!(load.merge("b", report(2, 4, 9), 0), eq(MergeOutcome::Stale));
+    assert_that!(
+        load.merge("b", report(1, 99, 9), 0),
+        eq(MergeOutcome::Stale)
+    );
+    assert_that!(load.in_progress(ENDPOINT), eq(3));
 }
 
 #[test]
 fn load_starts_anew_with_a_later_life() {
     let mut load = FleetLoad::default();
     load.merge("b", report(1, 50, 9), 0);
-    assert_that!(load.merge("b", report(2, 1, 0), 1), eq(Merged::Taken));
-    assert_that!(load.of(ENDPOINT), eq(0));
+    assert_that!(
+        load.merge("b", report(2, 1, 0), 1),
+        eq(MergeOutcome::Applied)
+    );
+    assert_that!(load.in_progress(ENDPOINT), eq(0));
 }
 
 #[test]
 fn load_believes_a_life_with_an_earlier_clock_after_a_silence() {
     let mut load = FleetLoad::default();
     load.merge("b", report(9, 50, 9), 0);
-    assert_that!(load.merge("b", report(8, 1, 2), 100), eq(Merged::Old));
+    assert_that!(
+        load.merge("b", report(8, 1, 2), 100),
+        eq(MergeOutcome::Stale)
+    );
     let later_ms = REPORT_AGE_MAX_MS + 1;
     assert_that!(
         load.merge("b", report(8, 9, 2), later_ms),
-        eq(Merged::Taken)
+        eq(MergeOutcome::Applied)
     );
-    assert_that!(load.of(ENDPOINT), eq(2));
+    assert_that!(load.in_progress(ENDPOINT), eq(2));
 }
 
 #[test]
@@ -66,10 +78,10 @@
     let mut load = FleetLoad::default();
     load.merge("b", report(1, 1, 9), 0);
     load.expire(REPORT_AGE_MAX_MS);
-    assert_that!(load.of(ENDPOINT), eq(9));
+    assert_that!(load.in_progress(ENDPOINT), eq(9));
     load.expire(REPORT_AGE_MAX_MS + 1);
-    assert_that!(load.of(ENDPOINT), eq(0));
-    assert_that!(load.hosts_heard(REPORT_AGE_MAX_MS + 1), eq(0));
+    assert_that!(load.in_progress(ENDPOINT), eq(0));
+    assert_that!(load.recent_host_count(REPORT_AGE_MAX_MS + 1), eq(0));
 }
 
 #[test]
@@ -79,7 +91,7 @@
     load.begin(ENDPOINT);
     load.end(ENDPOINT);
     load.end(ENDPOINT);
-    assert_that!(load.own_total(), eq(0));
+    assert_that!(load.local_total(), eq(0));
     assert_that!(load.report(1, 1).counts, is_empty());
 }
 
@@ -89,12 +101,12 @@
     load.begin(ENDPOINT);
     load.merge("b", report(1, 1, u32::MAX), 0);
     load.merge("c", report(1, 1, u32::MAX), 0);
-    assert_that!(load.of(ENDPOINT), eq(u32::MAX));
+    assert_that!(load.in_progress(ENDPOINT), eq(u32::MAX));
     assert_that!(load.total(), eq(u32::MAX));
 }
 
-fn zone_sum(zone: u32, hosts: u32, in_progress: u32) -> ZoneSum {
-    ZoneSum {
+fn zone_aggregate(zone: u32, hosts: u32, in_progress: u32) -> ZoneAggregate {
+    ZoneAggregate {
         zone,
         hosts,
         range: HashRange::ALL,
@@ -105,26 +117,46 @@
 #[test]
 fn load_counts_one_relay_of_a_zone() {
     let mut load = FleetLoad::default();
-    load.merge_zone("relay-1", zone_sum(1, 20, 40), SumPath::Direct, 0);
-    load.merge_zone("relay-2", zone_sum(1, 20, 41), SumPath::Direct, 0);
-    load.merge_zone("relay-3", zone_sum(2, 10, 5), SumPath::Direct, 0);
-    assert_that!(load.of(ENDPOINT), eq(46));
-    assert_that!(load.hosts_heard(0), eq(30));
+    load.merge_zone_aggregate(
+        "relay-1",
+        zone_aggregate(1, 20, 40),
+        AggregatePath::Direct,
+        0,
+    );
+    load.merge_zone_aggregate(
+        "relay-2",
+        zone_aggregate(1, 20, 41),
+        AggregatePath::Direct,
+        0,
+    );
+    load.merge_zone_aggregate(
+        "relay-3",
+        zone_aggregate(2, 10, 5),
+        AggregatePath::Direct,
+        0,
+    );
+    assert_that!(load.in_progress(ENDPOINT), eq(46));
+    assert_that!(load.recent_host_count(0), eq(30));
 }
 
 #[test]
 fn load_counts_the_relay_that_hears_most() {
     let mut load = FleetLoad::default();
-    load.merge_zone("relay-1", zone_sum(1, 20, 40), SumPath::Direct, 0);
-    load.merge_zone("relay-2", zone_sum(1, 3, 7), SumPath::Direct, 0);
-    assert_that!(load.of(ENDPOINT), eq(40));
-    load.merge_zone(
+    load.merge_zone_aggregate(
+        "relay-1",
+        zone_aggregate(1, 20, 40),
+        AggregatePath::Direct,
+        0,
+    );
+    load.merge_zone_aggregate("relay-2", zone_aggregate(1, 3, 7), AggregatePath::Direct, 0);
+    assert_that!(load.in_progress(ENDPOINT), eq(40));
+    load.merge_zone_aggregate(
         "relay-2",
-        zone_sum(1, 3, 7),
-        SumPath::Direct,
+        zone_aggregate(1, 3, 7),
+        AggregatePath::Direct,
         REPORT_AGE_MAX_MS + 1,
     );
-    assert_that!(load.of(ENDPOINT), eq(7));
+    assert_that!(load.in_progress(ENDPOINT), eq(7));
 }
 
 #[test]
@@ -132,80 +164,94 @@
     let mut load = FleetLoad::default();
     load.begin(ENDPOINT);
     load.merge("near", report(1, 1, 3), 0);
-    load.merge_zone("far", zone_sum(2, 9, 50), SumPath::Direct, 0);
-    assert_that!(load.zone_sum(1, 0), eq(&zone_sum(1, 2, 4)));
-    assert_that!(load.far_sums(0), eq(&[zone_sum(2, 9, 50)]));
+    load.merge_zone_aggregate("far", zone_aggregate(2, 9, 50), AggregatePath::Direct, 0);
+    assert_that!(load.zone_aggregate(1, 0), eq(&zone_aggregate(1, 2, 4)));
+    assert_that!(
+        load.remote_zone_aggregates(0),
+        eq(&[zone_aggregate(2, 9, 50)])
+    );
     let later_ms = REPORT_AGE_MAX_MS + 1;
-    assert_that!(load.zone_sum(1, later_ms), eq(&zone_sum(1, 1, 1)));
-    assert_that!(load.far_sums(later_ms), is_empty());
+    assert_that!(
+        load.zone_aggregate(1, later_ms),
+        eq(&zone_aggregate(1, 1, 1))
+    );
+    assert_that!(load.remote_zone_aggregates(later_ms), is_empty());
 }
 
 #[test]
 fn load_passes_on_only_what_came_from_the_zone_itself() {
     let mut load = FleetLoad::default();
-    load.merge_zone("relay-1", zone_sum(1, 20, 40), SumPath::Relayed, 0);
-    assert_that!(load.of(ENDPOINT), eq(40));
-    assert_that!(load.far_sums(0), is_empty());
+    load.merge_zone_aggregate(
+        "relay-1",
+        zone_aggregate(1, 20, 40),
+        AggregatePath::Relayed,
+        0,
+    );
+    assert_that!(load.in_progress(ENDPOINT), eq(40));
+    assert_that!(load.remote_zone_aggregates(0), is_empty());
 }
 
 /// A sum of so many endpoints, each with a load of its own.
-fn wide_sum(endpoints: u32, hosts: u32) -> ZoneSum {
+fn wide_sum(endpoints: u32, hosts: u32) -> ZoneAggregate {
     const SPACING: u32 = 1_000;
     let counts = (1..=endpoints).map(|i| EndpointCount {
         endpoint: i * SPACING,
         in_progress: i,
     });
-    ZoneSum {
+    ZoneAggregate {
         counts: counts.collect(),
-        ..zone_sum(1, hosts, 0)
+        ..zone_aggregate(1, hosts, 0)
     }
 }
 
 #[test]
-fn zone_sum_is_the_same_from_its_parts_in_any_order() {
+fn zone_aggregate_is_the_same_from_its_parts_in_any_order() {
     for endpoints in [0, 1, 128, 129, 690] {
         let parts = wide_sum(endpoints, 20).split(128);
         assert_that!(parts.iter().all(|part| part.counts.len() <= 128), eq(true));
         let mut load = FleetLoad::default();
         for part in parts.into_iter().rev() {
-            load.merge_zone("relay", part, SumPath::Direct, 0);
+            load.merge_zone_aggregate("relay", part, AggregatePath::Direct, 0);
         }
-        assert_that!(load.far_sums(0), eq(&[wide_sum(endpoints, 20)]));
-        assert_that!(load.far_hosts(), eq(20));
+        assert_that!(
+            load.remote_zone_aggregates(0),
+            eq(&[wide_sum(endpoints, 20)])
+        );
+        assert_that!(load.remote_host_count(), eq(20));
     }
 }
 
 #[test]
-fn zone_sum_without_one_part_keeps_the_others() {
+fn zone_aggregate_without_one_part_keeps_the_others() {
     let mut load = FleetLoad::default();
     for part in wide_sum(300, 20).split(128) {
-        load.merge_zone("relay", part, SumPath::Direct, 0);
+        load.merge_zone_aggregate("relay", part, AggregatePath::Direct, 0);
     }
-    let ended = ZoneSum {
+    let ended = ZoneAggregate {
         counts: Vec::new(),
         ..wide_sum(300, 20).split(128).swap_remove(1)
     };
-    load.merge_zone("relay", ended, SumPath::Direct, 100);
-    let loads = [128, 129, 256, 257].map(|i| load.of(i * 1_000));
+    load.merge_zone_aggregate("relay", ended, AggregatePath::Direct, 100);
+    let loads = [128, 129, 256, 257].map(|i| load.in_progress(i * 1_000));
     assert_that!(loads, eq([128, 0, 0, 257]));
 }
 
 #[test]
-fn zone_sum_forgets_parts_that_were_told_before_a_silence() {
+fn zone_aggregate_forgets_parts_that_were_told_before_a_silence() {
     let mut load = FleetLoad::default();
     for part in wide_sum(300, 20).split(128) {
-        load.merge_zone("relay", part, SumPath::Direct, 0);
+        load.merge_zone_aggregate("relay", part, AggregatePath::Direct, 0);
     }
     let later_ms = REPORT_AGE_MAX_MS + 1;
     let first = wide_sum(300, 20).split(128).swap_remove(0);
-    load.merge_zone("relay", first, SumPath::Direct, later_ms);
-    assert_that!(load.of(1_000), eq(1));
-    assert_that!(load.of(300_000), eq(0));
+    load.merge_zone_aggregate("relay", first, AggregatePath::Direct, later_ms);
+    assert_that!(load.in_progress(1_000), eq(1));
+    assert_that!(load.in_progress(300_000), eq(0));
 }
 
 /// A report's name, of the life 1.
-fn own(sequence: u64) -> Option<OwnReport> {
-    Some(OwnReport {
+fn own(sequence: u64) -> Option<ReportId> {
+    Some(ReportId {
         incarnation: 1,
         sequence,
     })
@@ -220,13 +266,13 @@
     load.report(1, 2);
     load.begin(ENDPOINT);
     // Ten requests over the fleet, of which one is this host's first report.
-    load.merge_totals("relay", &zone_sum(1, 50, 10), own(1), 0);
-    assert_that!(load.of(ENDPOINT), eq(9 + 3));
-    load.merge_totals("relay", &zone_sum(1, 50, 11), own(2), 0);
-    assert_that!(load.of(ENDPOINT), eq(9 + 3));
+    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 50, 10), own(1), 0);
+    assert_that!(load.in_progress(ENDPOINT), eq(9 + 3));
+    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 50, 11), own(2), 0);
+    assert_that!(load.in_progress(ENDPOINT), eq(9 + 3));
     assert_that!(load.total(), eq(12));
-    assert_that!(load.hosts_known(), eq(50));
-    assert_that!(load.hosts_heard(0), eq(49));
+    assert_that!(load.known_host_count(), eq(50));
+    assert_that!(load.recent_host_count(0), eq(49));
 }
 
 #[test]
@@ -235,8 +281,8 @@
     load.begin(ENDPOINT);
     load.report(2, 1);
     for not_of_this_life in [own(1), None] {
-        load.merge_totals("relay", &zone_sum(1, 50, 10), not_of_this_life, 0);
-        assert_that!(load.of(ENDPOINT), eq(10 + 1));
+        load.merge_fleet_aggregate("relay", &zone_aggregate(1, 50, 10), not_of_this_life, 0);
+        assert_that!(load.in_progress(ENDPOINT), eq(10 + 1));
     }
 }
 
@@ -246,29 +292,29 @@
     load.merge("near-1", report(1, 1, 3), 0);
     load.merge("near-2", report(1, 1, 4), 0);
     // A relay that has just begun hears fewer hosts than this one.
-    load.merge_totals("relay", &zone_sum(1, 2, 1), None, 0);
-    assert_that!(load.of(ENDPOINT), eq(7));
-    assert_that!(load.goes_by_totals(), eq(false));
-    load.merge_totals("relay", &zone_sum(1, 4, 20), None, 0);
-    assert_that!(load.of(ENDPOINT), eq(20));
+    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 2, 1), None, 0);
+    assert_that!(load.in_progress(ENDPOINT), eq(7));
+    assert_that!(load.uses_fleet_aggregate(), eq(false));
+    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 4, 20), None, 0);
+    assert_that!(load.in_progress(ENDPOINT), eq(20));
     // Relays that fall silent leave what is heard directly.
     let later_ms = REPORT_AGE_MAX_MS + 1;
     load.merge("near-1", report(1, 2, 3), later_ms);
     load.expire(later_ms);
-    assert_that!(load.of(ENDPOINT), eq(3));
-    assert_that!(load.goes_by_totals(), eq(false));
+    assert_that!(load.in_progress(ENDPOINT), eq(3));
+    assert_that!(load.uses_fleet_aggregate(), eq(false));
 }
 
 #[test]
-fn fleet_sum_has_all_zones_and_nothing_that_relays_summed_up() {
+fn fleet_aggregate_has_all_zones_and_nothing_that_relays_summed_up() {
     let mut load = FleetLoad::default();
     load.begin(ENDPOINT);
     load.merge("near", report(1, 5, 3), 0);
-    load.merge_zone("far", zone_sum(2, 9, 50), SumPath::Direct, 0);
-    load.merge_totals("other-relay", &zone_sum(1, 99, 900), None, 0);
-    assert_that!(load.fleet_sum(1), eq(&zone_sum(1, 11, 54)));
-    assert_that!(load.counted_report(&"near"), eq(own(5)));
-    assert_that!(load.counted_report(&"unknown"), none());
+    load.merge_zone_aggregate("far", zone_aggregate(2, 9, 50), AggregatePath::Direct, 0);
+    load.merge_fleet_aggregate("other-relay", &zone_aggregate(1, 99, 900), None, 0);
+    assert_that!(load.fleet_aggregate(1), eq(&zone_aggregate(1, 11, 54)));
+    assert_that!(load.included_report(&"near"), eq(own(5)));
+    assert_that!(load.included_report(&"unknown"), none());
 }
 
 /// Reports and sums of 60 hosts at random phases: whoever goes by totals sees
@@ -288,14 +334,17 @@
     (0..4).for_each(|_| leaf.begin(ENDPOINT));
     (0..4).for_each(|_| hears_all.begin(ENDPOINT));
     relay.merge(leaf_address, leaf.report(1, 1), 0);
-    let sum = relay.fleet_sum(1);
-    let includes = relay.counted_report(&leaf_address);
+    let sum = relay.fleet_aggregate(1);
+    let includes = relay.included_report(&leaf_address);
     for part in sum.split(1) {
-        leaf.merge_totals(999, &part, includes, 100);
+        leaf.merge_fleet_aggregate(999, &part, includes, 100);
     }
     leaf.begin(ENDPOINT);
     hears_all.begin(ENDPOINT);
-    assert_that!(leaf.of(ENDPOINT), eq(hears_all.of(ENDPOINT)));
+    assert_that!(
+        leaf.in_progress(ENDPOINT),
+        eq(hears_all.in_progress(ENDPOINT))
+    );
     assert_that!(leaf.total(), eq(hears_all.total()));
 }
 
@@ -321,18 +370,18 @@
             now_ms += pause_ms;
             let range = HashRange { first: from, last: (from + width).saturating_sub(2) };
             let counts = (0..8).map(|endpoint| EndpointCount { endpoint, in_progress });
-            let part = ZoneSum {
+            let part = ZoneAggregate {
                 range,
                 counts: counts.collect(),
-                ..zone_sum(zone, u32::from(relay) + in_progress % 2, 0)
+                ..zone_aggregate(zone, u32::from(relay) + in_progress % 2, 0)
             };
-            load.merge_zone(relay, part, SumPath::Direct, now_ms);
+            load.merge_zone_aggregate(relay, part, AggregatePath::Direct, now_ms);
             load.merge(relay, report(1, now_ms, in_progress), now_ms);
         }
         now_ms += REPORT_AGE_MAX_MS + 1;
         load.expire(now_ms);
         prop_assert_eq!(load.total(), 0);
-        load.merge_zone(0, zone_sum(0, 1, last), SumPath::Direct, now_ms);
+        load.merge_zone_aggregate(0, zone_aggregate(0, 1, last), AggregatePath::Direct, now_ms);
         prop_assert_eq!(load.total(), last);
     }
 
@@ -356,6 +405,6 @@
         for ((host, life, number), count) in picks.chain(&reports) {
             shuffled.merge(*host, report(*life, *number, *count), 0);
         }
-        prop_assert_eq!(in_order.of(ENDPOINT), shuffled.of(ENDPOINT));
+        prop_assert_eq!(in_order.in_progress(ENDPOINT), shuffled.in_progress(ENDPOINT));
     }
 }
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -20,9 +20,9 @@
 #[test]
 fn health_lets_one_request_try() {
     let mut health = broken_at(0);
-    health.sent(500);
+    health.record_sent(500);
     assert_that!(health.is_suspect(510), eq(true));
-    health.heard(520);
+    health.record_received(520);
     assert_that!(health.is_suspect(520), eq(false));
 }
 
@@ -33,7 +33,7 @@
     for longer_ms in [1_000, 2_000, 4_000, 4_000] {
         assert_that!(health.is_suspect(trusted_at_ms - 1), eq(true));
         assert_that!(health.is_suspect(trusted_at_ms), eq(false));
-        health.sent(trusted_at_ms);
+        health.record_sent(trusted_at_ms);
         health.record(HealthSignal::Break, trusted_at_ms + 10);
         trusted_at_ms += 10 + longer_ms;
     }
@@ -49,7 +49,7 @@
 #[test]
 fn health_trusts_again_after_an_answer() {
     let mut health = broken_at(0);
-    health.sent(500);
+    health.record_sent(500);
     health.record(HealthSignal::Break, 501);
     health.record(HealthSignal::Answer, 510);
     assert_that!(health.is_suspect(510), eq(false));
@@ -88,7 +88,7 @@
 #[test]
 fn health_forgives_a_wait_while_others_are_answered() {
     let mut health = EndpointHealth::default();
-    health.heard(1_900);
+    health.record_received(1_900);
     assert_that!(health.is_silent(1_000, 2_500), eq(false));
     assert_that!(health.is_silent(1_000, 2_600), eq(true));
 }
@@ -111,7 +111,7 @@
 fn health_renews_suspicion_when_a_try_is_silent_too() {
     let mut health = EndpointHealth::default();
     health.record(HealthSignal::Silence { sent_at_ms: 0 }, 700);
-    health.sent(1_200);
+    health.record_sent(1_200);
     health.record(HealthSignal::Silence { sent_at_ms: 1_200 }, 1_900);
     assert_that!(health.is_suspect(2_899), eq(true));
     assert_that!(health.is_suspect(2_900), eq(false));
@@ -123,7 +123,7 @@
     health.record(HealthSignal::Silence { sent_at_ms: 0 }, 700);
     assert_that!(health.is_silent(600, 710), eq(true));
     assert_that!(health.is_silent(1_200, 1_210), eq(false));
-    health.heard(720);
+    health.record_received(720);
     assert_that!(health.is_silent(600, 730), eq(false));
 }
 
@@ -132,9 +132,9 @@
     let mut health = EndpointHealth::default();
     health.record(HealthSignal::Silence { sent_at_ms: 0 }, 700);
     assert_that!(health.is_suspect(1_200), eq(false));
-    assert_that!(health.is_doubtful(1_200), eq(true));
-    assert_that!(health.is_doubtful(3_200), eq(false));
-    health.heard(1_300);
-    assert_that!(health.is_doubtful(1_300), eq(false));
-    assert_that!(broken_at(0).is_doubtful(500), eq(false));
+    assert_that!(health.is_on_probation(1_200), eq(true));
+    assert_that!(health.is_on_probation(3_200), eq(false));
+    health.record_received(1_300);
+    assert_that!(health.is_on_probation(1_300), eq(false));
+    assert_that!(broken_at(0).is_on_probation(500), eq(false));
 }
--- a/crates/routing/tests/poison.rs
+++ b/crates/routing/tests/poison.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use chalkrock_routing::{
-    CRASHES_MAX, LONG_RUN_MS, POISON_MS, PoisonEvidence, PoisonNews, PoisonRequest,
-    RequestFingerprint, Verdict,
+    LONG_RUN_MS, MAX_CRASHES, POISON_RETENTION_MS, PoisonEvidence, PoisonRequest, PoisonUpdate,
+    PoisonVerdict, RequestFingerprint,
 };
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop};
@@ -16,9 +16,9 @@
 
 /// Tells both what the other knows, as hosts do in their rounds.
 fn exchange(a: &mut PoisonEvidence, b: &mut PoisonEvidence, now_ms: u64) {
-    let told = a.take_pending(usize::MAX, now_ms);
+    let told = a.take_updates(usize::MAX, now_ms);
     b.merge(&told, false, now_ms);
-    let told = b.take_pending(usize::MAX, now_ms);
+    let told = b.take_updates(usize::MAX, now_ms);
     a.merge(&told, false, now_ms);
 }
 
@@ -26,7 +26,7 @@
 fn evidence(crashes: u32) -> PoisonEvidence {
     let mut evidence = PoisonEvidence::default();
     for start in 0..crashes {
-        evidence.ended_under(REQUEST, start, SHORT_MS, 0);
+        evidence.record_crash(REQUEST, start, SHORT_MS, 0);
     }
     evidence
 }
@@ -35,7 +35,7 @@
 fn is_poison_after_three_ends() {
     for crashes in 0..=5 {
         let is_poison = evidence(crashes).is_poison(REQUEST, 0);
-        assert_that!(is_poison, eq(crashes as usize >= CRASHES_MAX), "{crashes}");
+        assert_that!(is_poison, eq(crashes as usize >= MAX_CRASHES), "{crashes}");
     }
 }
 
@@ -43,7 +43,7 @@
 fn ended_under_one_start_counts_once() {
     let mut evidence = PoisonEvidence::default();
     for _ in 0..5 {
-        assert_that!(evidence.ended_under(REQUEST, 7, SHORT_MS, 0), none());
+        assert_that!(evidence.record_crash(REQUEST, 7, SHORT_MS, 0), none());
     }
     assert_that!(evidence.crashes(REQUEST), eq(1));
 }
@@ -64,7 +64,7 @@
     for (ran_ms, is_poison) in cases {
         let mut evidence = PoisonEvidence::default();
         for (start, ran_ms) in ran_ms.iter().enumerate() {
-            evidence.ended_under(REQUEST, start as u32, *ran_ms, 0);
+            evidence.record_crash(REQUEST, start as u32, *ran_ms, 0);
         }
         assert_that!(evidence.is_poison(REQUEST, 0), eq(is_poison), "{ran_ms:?}");
     }
@@ -74,8 +74,8 @@
 fn ended_under_one_start_counts_by_its_shorter_run() {
     let mut evidence = PoisonEvidence::default();
     for start in 0..3 {
-        evidence.ended_under(REQUEST, start, 900, 0);
-        evidence.ended_under(REQUEST, start, SHORT_MS, 0);
+        evidence.record_crash(REQUEST, start, 900, 0);
+        evidence.record_crash(REQUEST, start, SHORT_MS, 0);
     }
     assert_that!(evidence.is_poison(REQUEST, 0), eq(true));
 }
@@ -84,11 +84,11 @@
 fn merge_adds_what_two_hosts_saw() {
     let mut a = PoisonEvidence::default();
     let mut b = PoisonEvidence::default();
-    a.ended_under(REQUEST, 1, SHORT_MS, 0);
-    a.ended_under(REQUEST, 2, SHORT_MS, 0);
-    b.ended_under(REQUEST, 2, SHORT_MS, 0);
-    b.ended_under(REQUEST, 3, SHORT_MS, 0);
-    b.ended_under(OTHER, 3, SHORT_MS, 0);
+    a.record_crash(REQUEST, 1, SHORT_MS, 0);
+    a.record_crash(REQUEST, 2, SHORT_MS, 0);
+    b.record_crash(REQUEST, 2, SHORT_MS, 0);
+    b.record_crash(REQUEST, 3, SHORT_MS, 0);
+    b.record_crash(OTHER, 3, SHORT_MS, 0);
     exchange(&mut a, &mut b, 10);
     for host in [&a, &b] {
         assert_that!(host.is_poison(REQUEST, 10), eq(true));
@@ -100,11 +100,11 @@
 fn ended_well_clears_a_request_everywhere() {
     let mut a = evidence(3);
     let mut b = PoisonEvidence::default();
-    b.merge_poison(&a.poison(8, 0), 0);
+    b.merge_poison(&a.poison_requests(8, 0), 0);
     assert_that!(b.is_poison(REQUEST, 0), eq(true));
     assert_that!(
-        b.ended_well(REQUEST, 5),
-        some(eq(Verdict::Cleared {
+        b.record_completion(REQUEST, 5),
+        some(eq(PoisonVerdict::Cleared {
             request: REQUEST,
             records: true
         }))
@@ -119,8 +119,8 @@
 fn ended_well_is_told_to_whoever_has_not_heard() {
     let mut a = evidence(3);
     let mut b = PoisonEvidence::default();
-    b.ended_well(REQUEST, 0);
-    b.merge_poison(&a.poison(8, 10), 10);
+    b.record_completion(REQUEST, 0);
+    b.merge_poison(&a.poison_requests(8, 10), 10);
     assert_that!(b.is_poison(REQUEST, 10), eq(false));
     exchange(&mut b, &mut a, 20);
     assert_that!(a.is_poison(REQUEST, 20), eq(false));
@@ -131,9 +131,9 @@
 #[test]
 fn ended_under_accuses_nothing_that_ran_well() {
     let mut evidence = PoisonEvidence::default();
-    evidence.ended_well(REQUEST, 0);
+    evidence.record_completion(REQUEST, 0);
     for start in 0..9 {
-        evidence.ended_under(REQUEST, start, SHORT_MS, 10);
+        evidence.record_crash(REQUEST, start, SHORT_MS, 10);
     }
     assert_that!(evidence.is_poison(REQUEST, 10), eq(false));
 }
@@ -141,15 +141,18 @@
 #[test]
 fn is_poison_until_it_did_not_come_for_long() {
     let mut evidence = evidence(3);
-    let almost_ms = POISON_MS - 1;
+    let almost_ms = POISON_RETENTION_MS - 1;
     assert_that!(evidence.is_poison(REQUEST, almost_ms), eq(true));
-    evidence.came_again(REQUEST, almost_ms);
-    assert_that!(evidence.is_poison(REQUEST, POISON_MS + 1), eq(true));
+    evidence.record_repeat(REQUEST, almost_ms);
     assert_that!(
-        evidence.is_poison(REQUEST, almost_ms + POISON_MS),
+        evidence.is_poison(REQUEST, POISON_RETENTION_MS + 1),
+        eq(true)
+    );
+    assert_that!(
+        evidence.is_poison(REQUEST, almost_ms + POISON_RETENTION_MS),
         eq(false)
     );
-    evidence.expire(almost_ms + POISON_MS);
+    evidence.expire(almost_ms + POISON_RETENTION_MS);
     assert_that!(evidence.crashes(REQUEST), eq(0));
 }
 
@@ -159,21 +162,21 @@
 fn merge_poison_keeps_nothing_alive_by_itself() {
     let mut a = evidence(3);
     let mut b = PoisonEvidence::default();
-    for now_ms in (0..POISON_MS).step_by(200) {
-        b.merge_poison(&a.poison(8, now_ms), now_ms);
-        a.merge_poison(&b.poison(8, now_ms), now_ms);
+    for now_ms in (0..POISON_RETENTION_MS).step_by(200) {
+        b.merge_poison(&a.poison_requests(8, now_ms), now_ms);
+        a.merge_poison(&b.poison_requests(8, now_ms), now_ms);
     }
-    assert_that!(a.is_poison(REQUEST, POISON_MS), eq(false));
-    assert_that!(b.is_poison(REQUEST, POISON_MS), eq(false));
+    assert_that!(a.is_poison(REQUEST, POISON_RETENTION_MS), eq(false));
+    assert_that!(b.is_poison(REQUEST, POISON_RETENTION_MS), eq(false));
 }
 
 #[test]
 fn take_pending_tells_a_few_times_and_nothing_old() {
     let mut evidence = evidence(1);
-    let told = (0..6).map(|round| evidence.take_pending(9, round * 200).len());
+    let told = (0..6).map(|round| evidence.take_updates(9, round * 200).len());
     assert_that!(told.sum::<usize>(), eq(3));
-    evidence.ended_under(OTHER, 1, SHORT_MS, 0);
-    assert_that!(evidence.take_pending(9, 3_001), is_empty());
+    evidence.record_crash(OTHER, 1, SHORT_MS, 0);
+    assert_that!(evidence.take_updates(9, 3_001), is_empty());
 }
 
 /// A caller who makes new requests without end fills no memory, and does not drive
@@ -183,7 +186,7 @@
     const REQUESTS: u64 = 20_000;
     let mut evidence = evidence(3);
     for request in 10..10 + REQUESTS {
-        evidence.ended_under(RequestFingerprint(request), 1, SHORT_MS, 10);
+        evidence.record_crash(RequestFingerprint(request), 1, SHORT_MS, 10);
     }
     let known = (10..10 + REQUESTS).filter(|request| {
         let request = RequestFingerprint(*request);
@@ -242,16 +245,16 @@
                 Step::Ended { host, request, start, ran_long } => {
                     *ends.entry((request, start)).or_insert(true) &= ran_long;
                     let ran_ms = if ran_long { LONG_RUN_MS } else { SHORT_MS };
-                    hosts[host].ended_under(RequestFingerprint(request), start, ran_ms, 0);
+                    hosts[host].record_crash(RequestFingerprint(request), start, ran_ms, 0);
                 }
                 Step::Tell { from, to } => {
-                    let told = hosts[from].poison(usize::MAX, 0);
+                    let told = hosts[from].poison_requests(usize::MAX, 0);
                     hosts[to].merge_poison(&told, 0);
                 }
             }
         }
-        let told: Vec<Vec<PoisonNews>> =
-            hosts.iter_mut().map(|host| host.take_pending(usize::MAX, 0)).collect();
+        let told: Vec<Vec<PoisonUpdate>> =
+            hosts.iter_mut().map(|host| host.take_updates(usize::MAX, 0)).collect();
         for host in &mut hosts {
             told.iter().for_each(|told| { host.merge(told, false, 0); });
         }
@@ -260,7 +263,7 @@
             let halves: usize = of_request.map(|(_, ran_long)| if *ran_long { 1 } else { 2 }).sum();
             for host in &hosts {
                 let is_poison = host.is_poison(RequestFingerprint(request), 0);
-                proptest::prop_assert_eq!(is_poison, halves >= 2 * CRASHES_MAX);
+                proptest::prop_assert_eq!(is_poison, halves >= 2 * MAX_CRASHES);
             }
         }
     }
@@ -274,6 +277,6 @@
             evidence.merge_poison(&[PoisonRequest { request: REQUEST, left_ms }], 0);
         }
         let longest = left_ms.iter().copied().max().map(u64::from).filter(|left| *left > 0);
-        proptest::prop_assert_eq!(evidence.left_ms(REQUEST, 0), longest);
+        proptest::prop_assert_eq!(evidence.remaining_ms(REQUEST, 0), longest);
     }
 }
--- a/crates/routing/tests/rollout.rs
+++ b/crates/routing/tests/rollout.rs
@@ -6,10 +6,10 @@
 use chalkrock_core::rendezvous::MemberHash;
 use chalkrock_core::{BuildVersion, PoolId};
 use chalkrock_routing::{
-    AnswerSeen, BAD_LOG_ODDS, BuildUse, BuildWish, Decision, Evidence, EvidenceSource, Exposure,
-    ExposureBound, Judgement, RolloutOrder, RolloutOrderRow, RolloutOrders, RolloutReason,
-    RolloutRecord, RolloutStage, RolloutView, Rollouts, Side, StoreVersion, Tally, TallyRow, judge,
-    next_stage,
+    BAD_LOG_ODDS, BuildAssessment, BuildRequest, BuildSide, BuildUse, Evidence, EvidenceSource,
+    Exposure, ExposureBound, ObservedResponse, RolloutOrder, RolloutOrderRow, RolloutOrders,
+    RolloutReason, RolloutRecord, RolloutStage, RolloutView, Rollouts, StageTransition,
+    StoreVersion, Tally, TallyRow, assess_build, next_stage,
 };
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop};
@@ -61,15 +61,15 @@
 /// Rollouts with an order for `v2` and, if one is given, a record of it.
 fn ordered(stage: Option<RolloutStage>) -> Rollouts<u32> {
     let mut rollouts = rollouts();
-    rollouts.follow(&[order_row(1, Some("v2"))], StoreVersion(1), 0.5, 0);
+    rollouts.apply_order_changes(&[order_row(1, Some("v2"))], StoreVersion(1), 0.5, 0);
     if let Some(stage) = stage {
-        rollouts.take_record(&pool(), record(1, stage), StoreVersion(2), 0);
+        rollouts.merge_record(&pool(), record(1, stage), StoreVersion(2), 0);
     }
     rollouts
 }
 
-fn wish<'a>(pool: &'a PoolId, route: &'a Arc<str>) -> BuildWish<'a> {
-    BuildWish {
+fn wish<'a>(pool: &'a PoolId, route: &'a Arc<str>) -> BuildRequest<'a> {
+    BuildRequest {
         pool,
         route,
         is_first: true,
@@ -77,7 +77,7 @@
     }
 }
 
-const ENDED: AnswerSeen = AnswerSeen::Ended { pace_ms: None };
+const ENDED: ObservedResponse = ObservedResponse::Ended { pace_ms: None };
 
 #[test]
 fn exposure_is_the_hosts_part_whatever_routes_get() {
@@ -87,7 +87,7 @@
     for number in 0..6_000_usize {
         // One in ten, three in ten, six in ten.
         let of_route = [0, 1, 1, 1, 2, 2, 2, 2, 2, 2][number % 10];
-        let takes = exposure.takes(&routes[of_route], number as u64, HOSTS);
+        let takes = exposure.admits(&routes[of_route], number as u64, HOSTS);
         exposed[of_route] += usize::from(takes);
     }
     assert_that!(exposed.iter().sum::<usize>(), all!(ge(285), le(305)));
@@ -103,7 +103,7 @@
     let mut exposure = Exposure::new(bound, WITHIN_MS, 0.0);
     // Two a second: 24 until the deadline, of which 2.4 and 50 / 62 may be exposed.
     let route = route();
-    let takes = |number: u64| exposure.takes(&route, number * 500, HOSTS);
+    let takes = |number: u64| exposure.admits(&route, number * 500, HOSTS);
     let exposed = (0..240).map(takes).filter(|takes| *takes).count();
     assert_that!(exposed, all!(ge(13), le(24)));
 }
@@ -129,7 +129,7 @@
             let begins_at = f64::from(*begins) / 256.0;
             let mut exposure = Exposure::new(bound, WITHIN_MS, begins_at);
             for _ in 0..*count {
-                exposed += f64::from(u8::from(exposure.takes(&route, 0, HOSTS)));
+                exposed += f64::from(u8::from(exposure.admits(&route, 0, HOSTS)));
             }
             requests += f64::from(*count);
         }
@@ -141,23 +141,23 @@
 /// Counts answers of which a part fail.
 fn tally(new: (u32, u32), old: (u32, u32)) -> Tally {
     let mut tally = Tally::default();
-    let mut count = |side: Side, (answers, failures): (u32, u32)| {
+    let mut count = |side: BuildSide, (answers, failures): (u32, u32)| {
         for number in 0..answers {
             let seen = if number < failures {
-                AnswerSeen::Failed
+                ObservedResponse::Failed
             } else {
                 ENDED
             };
-            tally.count(&route(), side, seen);
+            tally.record(&route(), side, seen);
         }
     };
-    count(Side::New, new);
-    count(Side::Old, old);
+    count(BuildSide::New, new);
+    count(BuildSide::Old, old);
     tally
 }
 
 #[test]
-fn judge_tells_failures_of_the_build_from_those_of_the_fleet() {
+fn assessment_separates_failures_of_the_build_from_those_of_the_fleet() {
     let cases = [
         ("nothing yet", (0, 0), (0, 0), false),
         ("nothing of the old build", (10, 3), (0, 0), false),
@@ -175,27 +175,27 @@
         ("twice as often as that", (60, 25), (400, 56), true),
     ];
     for (name, new, old, is_bad) in cases {
-        let judgement = judge(&tally(new, old));
-        assert_that!(judgement.is_bad(), eq(is_bad), "{name}: {judgement}");
+        let assessment = assess_build(&tally(new, old));
+        assert_that!(assessment.is_bad(), eq(is_bad), "{name}: {assessment}");
     }
 }
 
-fn times(side: Side, ms: impl Iterator<Item = f64>, tally: &mut Tally) {
+fn times(side: BuildSide, ms: impl Iterator<Item = f64>, tally: &mut Tally) {
     for ms in ms {
         let pace_ms = Some(ms);
-        tally.count(&route(), side, AnswerSeen::Ended { pace_ms });
+        tally.record(&route(), side, ObservedResponse::Ended { pace_ms });
     }
 }
 
 #[test]
-fn judge_tells_a_slow_build_from_a_slow_fleet() {
+fn assessment_separates_a_slow_build_from_a_slow_fleet() {
     let usual = |count: u32| (0..count).map(|i| 20.0 + f64::from(i % 20));
     let slow = |count: u32| usual(count).map(|ms| 5.0 * ms);
     let judged = |new: Vec<f64>, old: Vec<f64>| {
         let mut tally = Tally::default();
-        times(Side::New, new.into_iter(), &mut tally);
-        times(Side::Old, old.into_iter(), &mut tally);
-        judge(&tally).is_bad()
+        times(BuildSide::New, new.into_iter(), &mut tally);
+        times(BuildSide::Old, old.into_iter(), &mut tally);
+        assess_build(&tally).is_bad()
     };
     assert_that!(judged(usual(40).collect(), usual(400).collect()), eq(false));
     assert_that!(judged(slow(40).collect(), usual(400).collect()), eq(true));
@@ -206,7 +206,7 @@
 
 /// Looked at after each answer, as it is in use.
 #[test]
-fn judge_seldom_accuses_a_good_build() {
+fn assessment_seldom_rejects_a_good_build() {
     const SEEDS: u64 = 1_000;
     const ANSWERS: u32 = 150;
     let accused = (0..SEEDS).filter(|seed| {
@@ -214,16 +214,16 @@
         let mut tally = Tally::default();
         let mut fails = |tally: &mut Tally, side| {
             let seen = if rng.random::<f64>() < 0.14 {
-                AnswerSeen::Failed
+                ObservedResponse::Failed
             } else {
                 ENDED
             };
-            tally.count(&route(), side, seen);
+            tally.record(&route(), side, seen);
         };
         (0..ANSWERS).any(|_| {
-            (0..10).for_each(|_| fails(&mut tally, Side::Old));
-            fails(&mut tally, Side::New);
-            judge(&tally).is_bad()
+            (0..10).for_each(|_| fails(&mut tally, BuildSide::Old));
+            fails(&mut tally, BuildSide::New);
+            assess_build(&tally).is_bad()
         })
     });
     // One in 665 by the threshold: two in a thousand.
@@ -240,11 +240,11 @@
         old_slots: 100,
         in_progress: 40,
         old_idle_ms: 0,
-        longest_stays_ms: [(route(), 4_000)].into(),
-        judgement: Judgement {
+        max_service_times_ms: [(route(), 4_000)].into(),
+        assessment: BuildAssessment {
             log_odds: -2.0,
             answers: 40,
-            ..Judgement::default()
+            ..BuildAssessment::default()
         },
     }
 }
@@ -256,20 +256,20 @@
     type Case = (&'static str, RolloutView, Option<(RolloutStage, Why)>);
     let canary = || view(Some(Canary));
     let moving = || view(Some(Moving));
-    let bad = || Judgement {
+    let bad = || BuildAssessment {
         log_odds: BAD_LOG_ODDS,
         answers: 40,
-        ..Judgement::default()
+        ..BuildAssessment::default()
     };
-    let few = |answers| Judgement {
+    let few = |answers| BuildAssessment {
         log_odds: -1.0,
         answers,
-        ..Judgement::default()
+        ..BuildAssessment::default()
     };
-    let unsure = Judgement {
+    let unsure = BuildAssessment {
         log_odds: 1.0,
         answers: 40,
-        ..Judgement::default()
+        ..BuildAssessment::default()
     };
     let cases: Vec<Case> = vec![
         ("ordered", view(None), Some((Canary, Why::Ordered))),
@@ -293,7 +293,7 @@
         (
             "bad",
             RolloutView {
-                judgement: bad(),
+                assessment: bad(),
                 age_ms: 100,
                 ..canary()
             },
@@ -302,7 +302,7 @@
         (
             "unsure",
             RolloutView {
-                judgement: unsure.clone(),
+                assessment: unsure.clone(),
                 ..canary()
             },
             None,
@@ -310,7 +310,7 @@
         (
             "unsure at the end",
             RolloutView {
-                judgement: unsure,
+                assessment: unsure,
                 age_ms: WITHIN_MS,
                 ..canary()
             },
@@ -319,7 +319,7 @@
         (
             "few answers",
             RolloutView {
-                judgement: few(8),
+                assessment: few(8),
                 ..canary()
             },
             None,
@@ -327,7 +327,7 @@
         (
             "few answers, late",
             RolloutView {
-                judgement: few(8),
+                assessment: few(8),
                 age_ms: 9_000,
                 ..canary()
             },
@@ -336,7 +336,7 @@
         (
             "next to none, late",
             RolloutView {
-                judgement: few(2),
+                assessment: few(2),
                 age_ms: 9_000,
                 ..canary()
             },
@@ -345,7 +345,7 @@
         (
             "next to none, at the end",
             RolloutView {
-                judgement: few(2),
+                assessment: few(2),
                 age_ms: WITHIN_MS,
                 ..canary()
             },
@@ -412,7 +412,7 @@
         (
             "bad while it moves",
             RolloutView {
-                judgement: bad(),
+                assessment: bad(),
                 ..moving()
             },
             Some((RolledBack, Why::Bad)),
@@ -445,7 +445,7 @@
         (
             "done",
             RolloutView {
-                judgement: bad(),
+                assessment: bad(),
                 is_withdrawn: true,
                 ..view(Some(Done))
             },
@@ -461,7 +461,7 @@
         ),
     ];
     for (name, view, expected) in cases {
-        let expected = expected.map(|(stage, reason)| Decision { stage, reason });
+        let expected = expected.map(|(stage, reason)| StageTransition { stage, reason });
         assert_that!(next_stage(&view), eq(expected), "{name}");
     }
 }
@@ -479,15 +479,21 @@
     ];
     for (stage, expected) in cases {
         let rollouts = ordered(stage);
-        let filter = rollouts.filter(&pool(), rollouts.usual_use(&pool()), 0);
+        let filter = rollouts.filter(&pool(), rollouts.stable_use(&pool()), 0);
         let admits = ["v1", "v2", "v0"].map(|build| filter.admits(&build.into()));
         assert_that!(admits, eq(expected), "{stage:?}");
     }
     let (pool, route) = (pool(), route());
     let mut done = ordered(Some(Done));
-    assert_that!(done.uses(&wish(&pool, &route), 0), eq(&[BuildUse::New]));
+    assert_that!(
+        done.build_uses(&wish(&pool, &route), 0),
+        eq(&[BuildUse::New])
+    );
     let mut back = ordered(Some(RolledBack));
-    assert_that!(back.uses(&wish(&pool, &route), 0), eq(&[BuildUse::Old]));
+    assert_that!(
+        back.build_uses(&wish(&pool, &route), 0),
+        eq(&[BuildUse::Old])
+    );
 }
 
 #[test]
@@ -495,14 +501,14 @@
     let mut rollouts = ordered(Some(RolloutStage::Canary));
     let (pool, route) = (pool(), route());
     let first = wish(&pool, &route);
-    let again = BuildWish {
+    let again = BuildRequest {
         is_first: false,
         ..first
     };
     let is_canary = |uses: &[BuildUse]| uses.first() == Some(&BuildUse::Canary);
-    let of_first = (0..1_000).filter(|_| is_canary(rollouts.uses(&first, 0)));
+    let of_first = (0..1_000).filter(|_| is_canary(rollouts.build_uses(&first, 0)));
     assert_that!(of_first.count(), all!(ge(45), le(55)));
-    let of_again = (0..1_000).filter(|_| is_canary(rollouts.uses(&again, 0)));
+    let of_again = (0..1_000).filter(|_| is_canary(rollouts.build_uses(&again, 0)));
     assert_that!(of_again.count(), eq(0));
 }
 
@@ -524,15 +530,15 @@
         moves_ms,
         ..record(1, RolloutStage::Moving)
     };
-    rollouts.take_record(&pool(), moving, StoreVersion(2), 5_000);
+    rollouts.merge_record(&pool(), moving, StoreVersion(2), 5_000);
     let pool = pool();
     let mut first_use = |name: &str, now_ms| {
         let route = name.into();
-        let again = BuildWish {
+        let again = BuildRequest {
             is_first: false,
             ..wish(&pool, &route)
         };
-        rollouts.uses(&again, now_ms)[0]
+        rollouts.build_uses(&again, now_ms)[0]
     };
     assert_that!(first_use("long", 5_000), eq(BuildUse::New));
     assert_that!(first_use("short", 5_000), eq(BuildUse::Old));
@@ -561,7 +567,7 @@
     let mut rollouts = rollouts();
     let (v1, v2) = (BuildVersion::from("v1"), BuildVersion::from("v2"));
     let listed = |rollouts: &mut Rollouts<u32>, builds: &[&BuildVersion], now_ms| {
-        rollouts.builds_listed(&pool(), builds.iter().copied(), now_ms);
+        rollouts.record_listed_builds(&pool(), builds.iter().copied(), now_ms);
     };
     let admits = |rollouts: &Rollouts<u32>, build: &BuildVersion, now_ms| {
         rollouts
@@ -583,7 +589,7 @@
 #[test]
 fn order_that_is_given_again_begins_anew() {
     let mut rollouts = ordered(Some(RolloutStage::RolledBack));
-    rollouts.follow(&[order_row(7, Some("v2"))], StoreVersion(7), 0.5, 50_000);
+    rollouts.apply_order_changes(&[order_row(7, Some("v2"))], StoreVersion(7), 0.5, 50_000);
     assert_that!(rollouts.stage(&pool()), none());
     assert_that!(rollouts.age_ms(&pool(), 50_000), eq(0));
     assert_that!(
@@ -593,24 +599,24 @@
     );
     // The record of the earlier order says nothing of this one.
     let late = record(1, RolloutStage::Done);
-    rollouts.take_record(&pool(), late, StoreVersion(3), 50_000);
+    rollouts.merge_record(&pool(), late, StoreVersion(3), 50_000);
     assert_that!(rollouts.stage(&pool()), none());
 }
 
 #[test]
 fn order_that_is_taken_back_leaves_what_was_final() {
     let mut rollouts = ordered(Some(RolloutStage::RolledBack));
-    rollouts.follow(&[order_row(9, None)], StoreVersion(9), 0.5, 0);
-    let filter = rollouts.filter(&pool(), rollouts.usual_use(&pool()), 0);
+    rollouts.apply_order_changes(&[order_row(9, None)], StoreVersion(9), 0.5, 0);
+    let filter = rollouts.filter(&pool(), rollouts.stable_use(&pool()), 0);
     assert_that!(filter.admits(&"v2".into()), eq(false));
 }
 
 #[test]
 fn age_is_that_of_whoever_heard_first() {
     let mut rollouts = ordered(None);
-    rollouts.take_age(&pool(), StoreVersion(1), 3_000, 1_000);
-    rollouts.take_age(&pool(), StoreVersion(1), 500, 1_000);
-    rollouts.take_age(&pool(), StoreVersion(99), 60_000, 1_000);
+    rollouts.merge_age(&pool(), StoreVersion(1), 3_000, 1_000);
+    rollouts.merge_age(&pool(), StoreVersion(1), 500, 1_000);
+    rollouts.merge_age(&pool(), StoreVersion(99), 60_000, 1_000);
     assert_that!(rollouts.age_ms(&pool(), 1_000), eq(3_000));
 }
 
@@ -637,7 +643,7 @@
 
 /// All words of a history, in the order of the store.
 fn words(history: &[(bool, u8)]) -> Vec<Word> {
-    let mut words = vec![Word::Orders(RolloutOrders::as_of(
+    let mut words = vec![Word::Orders(RolloutOrders::from_snapshot(
         StoreVersion(1),
         [order_row(1, Some("v2"))],
     ))];
@@ -647,7 +653,7 @@
         if *is_order {
             order = version;
             let row = order_row(version, Some("v2"));
-            words.push(Word::Orders(RolloutOrders::as_of(
+            words.push(Word::Orders(RolloutOrders::from_snapshot(
                 StoreVersion(version),
                 [row],
             )));
@@ -662,10 +668,10 @@
 fn tell(rollouts: &mut Rollouts<u32>, word: &Word) {
     match word {
         Word::Orders(orders) => {
-            rollouts.take_orders(orders, 0.5, 0);
+            rollouts.merge_orders(orders, 0.5, 0);
         }
         Word::Record(record, version) => {
-            rollouts.take_record(&pool(), record.clone(), *version, 0);
+            rollouts.merge_record(&pool(), record.clone(), *version, 0);
         }
     }
 }
@@ -708,8 +714,8 @@
         let mut told = Vec::new();
         for (host, fails) in &answers {
             let tally = tallies.entry(*host).or_default();
-            let seen = if *fails { AnswerSeen::Failed } else { ENDED };
-            tally.count(&route(), Side::New, seen);
+            let seen = if *fails { ObservedResponse::Failed } else { ENDED };
+            tally.record(&route(), BuildSide::New, seen);
             told.push((*host, tally.clone()));
         }
         let mut evidence: Evidence<u32> = Evidence::default();
@@ -723,18 +729,18 @@
             tell(&mut evidence, &told[index % told.len()]);
         }
         told.iter().for_each(|told| tell(&mut evidence, told));
-        proptest::prop_assert_eq!(evidence.sum().answers(Side::New), answers.len() as u32);
+        proptest::prop_assert_eq!(evidence.combined_tally().answers(BuildSide::New), answers.len() as u32);
     }
 }
 
 #[test]
 fn evidence_of_two_relays_of_a_zone_counts_once() {
     let mut evidence: Evidence<u32> = Evidence::default();
-    evidence.count(&route(), Side::New, ENDED);
+    evidence.record(&route(), BuildSide::New, ENDED);
     for (relay, answers) in [(1, 10), (2, 12)] {
         let source = EvidenceSource::Zone { zone: 7, relay };
         evidence.merge(source, tally((answers, 0), (0, 0)));
     }
-    assert_that!(evidence.sum().answers(Side::New), eq(13));
-    assert_that!(evidence.zone_sum().answers(Side::New), eq(1));
+    assert_that!(evidence.combined_tally().answers(BuildSide::New), eq(13));
+    assert_that!(evidence.zone_tally().answers(BuildSide::New), eq(1));
 }
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -80,7 +80,7 @@
 fn pool_by_weight() {
     let rules = rules();
     let route = rules.route("a.example", "/chat/deep/").expect("a route");
-    let of_p = (0..1_000).filter(|draw| route.pool_of(*draw).is_some_and(|p| p.as_str() == "p"));
+    let of_p = (0..1_000).filter(|draw| route.pool_for(*draw).is_some_and(|p| p.as_str() == "p"));
     assert_that!(of_p.count(), eq(900));
 }
 
@@ -88,7 +88,7 @@
 fn pool_of_a_route_without_any() {
     let rules = rules();
     let route = rules.route("b.example", "/chat/").expect("a route");
-    assert_that!(route.pool_of(3), none());
+    assert_that!(route.pool_for(3), none());
 }
 
 #[test]
--- a/crates/routing/tests/spread.rs
+++ b/crates/routing/tests/spread.rs
@@ -13,7 +13,7 @@
 ) -> Option<usize> {
     let request = PlacementRequest {
         key,
-        unseen_arrivals: 0.0,
+        unreported_arrivals: 0.0,
         draw,
     };
     chalkrock_routing::choose(candidates, &request, rules).map(|placement| placement.index)
@@ -29,7 +29,7 @@
         hash: MemberHash::of(&format!("engine-{i}")),
         load,
         slots: 64,
-        is_near: false,
+        is_same_zone: false,
         is_suspect: false,
         holds_prefix: false,
         is_closed: false,
@@ -144,7 +144,7 @@
 #[test]
 fn choose_without_a_prefix_takes_the_near_one_of_equals() {
     let mut candidates = idle(4);
-    candidates[2].is_near = true;
+    candidates[2].is_same_zone = true;
     assert_that!(choose(&candidates, None, &RULES, 0), some(eq(2)));
 }
 
@@ -264,7 +264,7 @@
                     .collect();
                 let request = PlacementRequest {
                     key: None,
-                    unseen_arrivals: unseen,
+                    unreported_arrivals: unseen,
                     draw: random.random(),
                 };
                 let placed = chalkrock_routing::choose(&candidates, &request, &RULES);
@@ -308,13 +308,13 @@
     #[test]
     fn spread_fills_the_least_loaded_first_and_prefers_near_ones() {
         let mut candidates = [candidate(0, 40), candidate(1, 8), candidate(2, 8)];
-        candidates[2].is_near = true;
+        candidates[2].is_same_zone = true;
         let mut chosen = [0; 3];
         let mut random = StdRng::seed_from_u64(1);
         for _ in 0..10_000 {
             let request = PlacementRequest {
                 key: None,
-                unseen_arrivals: 31.0,
+                unreported_arrivals: 31.0,
                 draw: random.random(),
             };
             let placed = chalkrock_routing::choose(&candidates, &request, &RULES);
--- a/crates/routing/tests/pause.rs
+++ b/crates/routing/tests/suspension.rs
@@ -1,11 +1,11 @@
 //! Pauses of a host by two readings of its clocks.
 
-use chalkrock_routing::{ClockReading, Pause, pause_between};
+use chalkrock_routing::{ClockReading, Suspension, detect_suspension};
 use googletest::prelude::*;
 
 const DUE_MS: u64 = 200;
 
-fn pause(steady_ms: u64, boot_ms: u64) -> Option<Pause> {
+fn pause(steady_ms: u64, boot_ms: u64) -> Option<Suspension> {
     let before = ClockReading {
         steady_ms: 1_000,
         boot_ms: 90_000,
@@ -14,11 +14,11 @@
         steady_ms: before.steady_ms + steady_ms,
         boot_ms: before.boot_ms + boot_ms,
     };
-    pause_between(before, after, DUE_MS)
+    detect_suspension(before, after, DUE_MS)
 }
 
 #[test]
-fn pause_between_as_the_table_says() {
+fn suspensions_are_detected_as_the_table_says() {
     let cases = [
         ("on time", 200, 200, None),
         ("sooner", 3, 3, None),
@@ -43,7 +43,7 @@
     ];
     for (name, steady_ms, boot_ms, expected) in cases {
         let found = pause(steady_ms, boot_ms);
-        let found = found.map(|pause| (pause.length_ms, pause.uncounted_ms));
+        let found = found.map(|pause| (pause.duration_ms, pause.uncounted_ms));
         assert_that!(found, eq(expected), "{name}");
     }
 }
