--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -230,7 +230,7 @@
     let began_at = Instant::now();
     let count = Arc::new(ByteCount::default());
     let patience = IdleLimits {
-        first_byte: first_byte,
+        first_byte,
         between_bytes: ms(shared.config.follow.stall_ms),
     };
     let asked = ask(from, have, count.clone());
