--- a/crates/routing/src/pause.rs
+++ b/crates/routing/src/pause.rs
@@ -1,8 +1,7 @@
 //! Detection of process and host suspensions.
 //!
-//! After a stopped process resumes, the steady clock is ahead of its timers. The steady
-//! clock does not advance while the host is suspended, so that only a clock that does
-//! shows it.
+//! After a stopped process resumes, the steady clock is ahead of its timers. A
+//! suspended host stops its steady clock, so that only its boot clock shows the time.
 
 /// Two clocks read at one moment, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/routing/src/readers.rs
+++ b/crates/routing/src/readers.rs
@@ -180,8 +180,8 @@
         count_ranked_before(local, self.others.iter())
     }
 
-    /// Whether the hosts of the zone report to relays only; `is_so` is the current
-    /// state, for hysteresis.
+    /// Whether the hosts of the zone report to relays only; `was_relayed` is the
+    /// current state, for hysteresis.
     pub fn is_relayed(&self, was_relayed: bool) -> bool {
         let min_hosts = if was_relayed {
             MIN_HOSTS_TO_KEEP_RELAYING
--- a/crates/routing/src/rollout/evidence.rs
+++ b/crates/routing/src/rollout/evidence.rs
@@ -151,16 +151,14 @@
     /// The number of answers of a side.
     pub fn answers(&self, side: Side) -> u32 {
         let rows = self.0.iter();
-        let side_rows =
-            rows.filter(|((_, row_side, measure), _)| *row_side == side && !measure.is_time());
+        let side_rows = rows.filter(|((_, of, measure), _)| *of == side && !measure.is_time());
         side_rows.flat_map(|(_, bins)| bins.values()).sum()
     }
 
     /// The number of failures of a side.
     pub fn failures(&self, side: Side) -> u32 {
         let rows = self.0.iter();
-        let side_rows =
-            rows.filter(|((_, row_side, measure), _)| *row_side == side && !measure.is_time());
+        let side_rows = rows.filter(|((_, of, measure), _)| *of == side && !measure.is_time());
         side_rows.filter_map(|(_, bins)| bins.get(&1)).sum()
     }
 
--- a/crates/routing/src/rollout/judge.rs
+++ b/crates/routing/src/rollout/judge.rs
@@ -137,7 +137,7 @@
     let empty = BTreeMap::new();
     let old = stratum.old.unwrap_or(&empty);
     let first_bad_bin = if stratum.measure.is_time() {
-        slow_bin(old)?
+        first_slow_bin(old)?
     } else {
         1
     };
@@ -154,8 +154,8 @@
     })
 }
 
-/// The bin from which a time is slow.
-fn slow_bin(old: &BTreeMap<u8, u32>) -> Option<u8> {
+/// The first bin of slow times.
+fn first_slow_bin(old: &BTreeMap<u8, u32>) -> Option<u8> {
     let total: u32 = old.values().sum();
     if total < MIN_TIMES {
         return None;
--- a/crates/routing/src/rollout/runs.rs
+++ b/crates/routing/src/rollout/runs.rs
@@ -223,8 +223,7 @@
         true
     }
 
-    /// Merges the age of a pool's order as another host knows it. The higher age
-    /// counts.
+    /// Merges the age of a pool's order as another host knows it, keeping the higher one.
     pub fn take_age(&mut self, pool: &PoolId, order: StoreVersion, age_ms: u64, now_ms: u64) {
         if let Some(run) = self.runs.get_mut(pool)
             && run.versioned_order.version == order
@@ -264,8 +263,7 @@
 
     /// Replaces the known record by the stored one after a conditional write failed,
     /// even if that has a lower version. A missing or invalid record (`None`) changes
-    /// only the version that the next write names. Returns whether the current rollout
-    /// changes.
+    /// only the version to name next. Returns whether the current rollout changes.
     pub fn found_at_store(
         &mut self,
         pool: &PoolId,
--- a/crates/routing/src/spread.rs
+++ b/crates/routing/src/spread.rs
@@ -105,12 +105,11 @@
 
 /// Chooses the endpoint for a request; `None` if there is none.
 ///
-/// With a key, the home is the endpoint that ranks first. It is chosen if it has a free
-/// slot and is under the limit. Otherwise the request goes to an endpoint under the
-/// limit with slots to spare, preferably one that holds the prefix. If there is none,
-/// the home queues it while its queue is short, and else an endpoint with a free slot
-/// takes it. A single free slot does not attract a request earlier, or a full pool
-/// would spread all prefixes over all endpoints and evict them from the caches.
+/// With a key, the home is the endpoint that ranks first, chosen if it has a free slot
+/// and is under the limit. Otherwise the request goes to an endpoint under the limit
+/// with slots to spare, preferably one that holds the prefix, else to the home while
+/// its queue is short, else to one with a free slot. Taking any free slot earlier would
+/// spread all prefixes over a full pool, until no cache can hold them.
 ///
 /// Without a key, or if all are over the limit, the least loaded endpoint is chosen,
 /// preferably in the same zone. With many unreported arrivals, the choice is random and
@@ -124,9 +123,9 @@
     let limit = limit(candidates, rules);
     let is_under_limit = |i: &usize| f64::from(candidates[*i].load) + 1.0 <= limit;
     let under_limit: Vec<usize> = usable.iter().copied().filter(is_under_limit).collect();
-    let below_utilisation = |utilisation: f64| -> Vec<usize> {
-        let has_headroom = |i: &usize| candidates[*i].is_below(utilisation);
-        under_limit.iter().copied().filter(has_headroom).collect()
+    let below = |utilisation: f64| -> Vec<usize> {
+        let is_below = |i: &usize| candidates[*i].is_below(utilisation);
+        under_limit.iter().copied().filter(is_below).collect()
     };
     let for_prefix = request.key.and_then(|key| {
         let ranks = Ranks { candidates, key };
@@ -140,13 +139,13 @@
             .map(placement(Basis::Home))
             .or_else(|| {
                 ranks
-                    .prefer_holder(&below_utilisation(LOW_UTILISATION_RATIO))
+                    .prefer_holder(&below(LOW_UTILISATION_RATIO))
                     .map(placement(Basis::LowUtilisation))
             })
             .or_else(|| home_below(SHORT_QUEUE_RATIO).map(placement(Basis::HomeQueue)))
             .or_else(|| {
                 ranks
-                    .prefer_holder(&below_utilisation(FULL_RATIO))
+                    .prefer_holder(&below(FULL_RATIO))
                     .map(placement(Basis::FreeSlot))
             })
             .or_else(|| home.map(placement(Basis::HomeLongQueue)))
@@ -210,12 +209,11 @@
 
 /// The least loaded endpoint if loads are known well enough; otherwise a random one.
 ///
-/// All hosts see the same reported loads. If each chose the least loaded endpoint of a
-/// report, that endpoint would receive all requests until the next report. The
-/// unreported arrivals are therefore distributed by water-filling, from the least
-/// loaded endpoint up, and the choice is weighted by the headroom that remains below
-/// the resulting level. With current reports this chooses the least loaded endpoint;
-/// with outdated ones it distributes requests by slots.
+/// All hosts see the same reported loads. The least loaded endpoint of a report would
+/// receive all requests until the next one. Unreported arrivals are therefore
+/// distributed by water-filling, from the least loaded endpoint up, and the choice is
+/// weighted by the headroom below the resulting level. With current reports this is the
+/// least loaded endpoint; with outdated ones, requests spread by slots.
 fn spread_by_load(
     candidates: &[Candidate],
     usable: &[usize],
