--- a/crates/routing/src/spread.rs
+++ b/crates/routing/src/spread.rs
@@ -79,8 +79,7 @@
     /// Expected requests of other hosts to the pool that are not in the reported loads
     /// yet; 0 if reports are up to date.
     pub unseen_arrivals: f64,
-    /// A random number that breaks ties, so that hosts with the same view choose
-    /// different endpoints.
+    /// Random number that breaks ties, so that hosts do not all choose alike.
     pub draw: u64,
 }
 
@@ -184,8 +183,7 @@
     }
 }
 
-/// Endpoints that are neither closed nor suspect; all that are not closed if each is
-/// suspect.
+/// Endpoints neither closed nor suspect, or all that are not closed if all are suspect.
 fn usable(candidates: &[Candidate]) -> Vec<usize> {
     let open: Vec<usize> = (0..candidates.len())
         .filter(|&i| !candidates[i].is_closed)
