--- a/crates/routing/src/fleet_load.rs
+++ b/crates/routing/src/fleet_load.rs
@@ -12,9 +12,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet_totals::{FleetTotals, OwnReport};
+use crate::fleet_totals::{FleetTotals, ReportId};
 use crate::in_flight::{EndpointCount, InFlightCounters, REPORT_INTERVAL_MS, is_recent};
-use crate::zone_loads::{HashRange, SumPath, ZoneLoads, ZoneSum};
+use crate::zone_loads::{AggregatePath, HashRange, ZoneAggregate, ZoneLoads};
 
 /// A host's report of its requests in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
 
 /// Whether a report was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// It is the newest of its host.
     Taken,
     /// It is late, a duplicate or from an earlier incarnation.
@@ -78,7 +78,7 @@
             zones: HashMap::new(),
             others: InFlightCounters::default(),
             totals: FleetTotals::default(),
-            goes_by_totals: false,
+            uses_fleet_aggregate: false,
         }
     }
 }
@@ -100,8 +100,9 @@
     }
 
     /// Requests of the whole fleet on an endpoint.
-    pub fn of(&self, endpoint: u32) -> u32 {
-        self.own(endpoint).saturating_add(self.of_others(endpoint))
+    pub fn in_progress(&self, endpoint: u32) -> u32 {
+        self.local_in_progress(endpoint)
+            .saturating_add(self.remote_in_progress(endpoint))
     }
 
     /// Requests of the other hosts on an endpoint.
@@ -137,7 +138,7 @@
         } else {
             self.others.total()
         };
-        self.own_total().saturating_add(others)
+        self.local_total().saturating_add(others)
     }
 
     /// Creates a report of this host's counts, and remembers it to subtract it from
@@ -161,7 +162,7 @@
             && is_recent(known.received_at_ms, now_ms)
             && of(&known.report) >= of(&report)
         {
-            return Merged::Old;
+            return MergeOutcome::Stale;
         }
         self.others.add(&report.counts);
         let known = KnownReport {
@@ -201,7 +202,7 @@
     pub fn fleet_sum(&self, zone: u32) -> ZoneSum {
         let mut totals = self.local.clone();
         totals.add(&self.others.counts());
-        ZoneSum {
+        ZoneAggregate {
             zone,
             hosts: self.direct_host_count() as u32,
             range: HashRange::ALL,
@@ -212,7 +213,7 @@
     /// The report of a host that is included in the counts.
     pub fn counted_report(&self, host: &H) -> Option<OwnReport> {
         let known = self.hosts.get(host)?;
-        Some(OwnReport::of(&known.report))
+        Some(ReportId::of(&known.report))
     }
 
     /// Whether this host uses the relays' aggregates of the whole fleet.
@@ -248,7 +249,7 @@
             hosts += 1;
             totals.add(&known.report.counts);
         }
-        ZoneSum {
+        ZoneAggregate {
             zone,
             hosts,
             range: HashRange::ALL,
--- a/crates/routing/src/fleet_totals.rs
+++ b/crates/routing/src/fleet_totals.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet_load::HostReport;
 use crate::in_flight::InFlightCounters;
-use crate::zone_loads::{SumPath, ZoneLoads, ZoneSum};
+use crate::zone_loads::{AggregatePath, ZoneAggregate, ZoneLoads};
 
 /// Covers three seconds of reports, longer than an aggregate is valid.
 const MAX_REMEMBERED_REPORTS: usize = 16;
@@ -113,7 +113,7 @@
         let included = included.and_then(|relay| self.includes.get(relay));
         let report = included.and_then(|included| {
             let mut reports = self.reports.iter();
-            reports.find(|report| OwnReport::of(report) == *included)
+            reports.find(|report| ReportId::of(report) == *included)
         });
         self.local_in_aggregate = InFlightCounters::default();
         if let Some(report) = report {
--- a/crates/routing/src/poison.rs
+++ b/crates/routing/src/poison.rs
@@ -151,10 +151,10 @@
 /// let request = RequestFingerprint(7);
 /// let mut evidence = PoisonEvidence::default();
 /// for start in [1, 2, 2] {
-///     evidence.ended_under(request, start, 40, 0);
+///     evidence.record_crash(request, start, 40, 0);
 /// }
 /// assert!(!evidence.is_poison(request, 10));
-/// evidence.ended_under(request, 3, 40, 20);
+/// evidence.record_crash(request, 3, 40, 20);
 /// assert!(evidence.is_poison(request, 30));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -197,7 +197,7 @@
         let records = true;
         suspect
             .is_poison
-            .then_some(Verdict::Cleared { request, records })
+            .then_some(PoisonVerdict::Cleared { request, records })
     }
 
     /// Merges updates of another host, queues new ones for sending if `forwards`, and
@@ -226,7 +226,8 @@
                     let suspect = self.suspects.remove(&request);
                     let was_poison = suspect.is_some_and(|suspect| suspect.is_poison);
                     let records = false;
-                    verdicts.extend(was_poison.then_some(Verdict::Cleared { request, records }));
+                    verdicts
+                        .extend(was_poison.then_some(PoisonVerdict::Cleared { request, records }));
                     is_new
                 }
             };
@@ -253,14 +254,14 @@
             suspect.is_poison = true;
             suspect.until_ms = suspect.until_ms.max(until_ms);
             let records = false;
-            verdicts.extend(is_new.then_some(Verdict::Poison { request, records }));
+            verdicts.extend(is_new.then_some(PoisonVerdict::Poison { request, records }));
         }
         verdicts
     }
 
     /// Whether a request is rejected.
     pub fn is_poison(&self, request: RequestFingerprint, now_ms: u64) -> bool {
-        self.left_ms(request, now_ms).is_some()
+        self.remaining_ms(request, now_ms).is_some()
     }
 
     /// How much longer a request is rejected, in milliseconds.
@@ -279,7 +280,7 @@
     /// Restarts the rejection period of a request that arrived again.
     pub fn came_again(&mut self, request: RequestFingerprint, now_ms: u64) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.until_ms = now_ms + POISON_MS;
+            suspect.until_ms = now_ms + POISON_RETENTION_MS;
         }
     }
 
--- a/crates/routing/src/rollout/judge.rs
+++ b/crates/routing/src/rollout/assessment.rs
@@ -14,7 +14,7 @@
 
 use serde::Serialize;
 
-use crate::rollout::evidence::{Measure, Side, Stratum, Tally};
+use crate::rollout::evidence::{BuildSide, Measure, Stratum, Tally};
 
 /// Natural logarithm of the odds from which a build is bad. In a single test, a good
 /// build reaches them once in 665 cases at most.
@@ -52,14 +52,14 @@
     pub old_failures: u32,
 }
 
-impl Judgement {
+impl BuildAssessment {
     /// Whether the build is bad.
     pub fn is_bad(&self) -> bool {
         self.log_odds >= BAD_LOG_ODDS
     }
 }
 
-impl fmt::Display for Judgement {
+impl fmt::Display for BuildAssessment {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -83,25 +83,25 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::{AnswerSeen, Side, Tally, judge};
+/// use chalkrock_routing::{ObservedResponse, BuildSide, Tally, judge};
 ///
 /// let route = "chat".into();
-/// let whole = AnswerSeen::Ended { pace_ms: None };
+/// let whole = ObservedResponse::Ended { pace_ms: None };
 /// let mut tally = Tally::default();
-/// (0..200).for_each(|_| tally.count(&route, Side::Old, whole));
-/// (0..20).for_each(|_| tally.count(&route, Side::New, whole));
-/// assert!(!judge(&tally).is_bad());
-/// (0..5).for_each(|_| tally.count(&route, Side::New, AnswerSeen::Failed));
-/// assert!(judge(&tally).is_bad());
+/// (0..200).for_each(|_| tally.count(&route, BuildSide::Old, whole));
+/// (0..20).for_each(|_| tally.count(&route, BuildSide::New, whole));
+/// assert!(!assess_build(&tally).is_bad());
+/// (0..5).for_each(|_| tally.count(&route, BuildSide::New, ObservedResponse::Failed));
+/// assert!(assess_build(&tally).is_bad());
 /// ```
 pub fn judge(tally: &Tally) -> Judgement {
     let mut assessment = Judgement {
         log_odds: f64::NEG_INFINITY,
-        answers: tally.answers(Side::New),
-        failures: tally.failures(Side::New),
-        old_answers: tally.answers(Side::Old),
-        old_failures: tally.failures(Side::Old),
-        ..Judgement::default()
+        answers: tally.answers(BuildSide::New),
+        failures: tally.failures(BuildSide::New),
+        old_answers: tally.answers(BuildSide::Old),
+        old_failures: tally.failures(BuildSide::Old),
+        ..BuildAssessment::default()
     };
     let mut pooled: BTreeMap<Measure, Vec<Counts>> = BTreeMap::new();
     for stratum in tally.strata() {
--- a/crates/routing/src/rollout/evidence.rs
+++ b/crates/routing/src/rollout/evidence.rs
@@ -75,7 +75,7 @@
     pub bins: BTreeMap<u8, u32>,
 }
 
-type Key = (Arc<str>, Side, Measure);
+type Key = (Arc<str>, BuildSide, Measure);
 
 /// Counts of one route and measure at both builds, by bin.
 pub(super) struct Stratum<'a> {
@@ -129,13 +129,13 @@
                 };
                 self.add(route, side, measure, bin_for(first_byte_ms), 1);
             }
-            AnswerSeen::Ended { pace_ms } => {
+            ObservedResponse::Ended { pace_ms } => {
                 self.add(route, side, Measure::Failure, 0, 1);
                 if let Some(ms) = pace_ms {
                     self.add(route, side, Measure::Pace, bin_for(ms), 1);
                 }
             }
-            AnswerSeen::Failed => self.add(route, side, Measure::Failure, 1, 1),
+            ObservedResponse::Failed => self.add(route, side, Measure::Failure, 1, 1),
         }
     }
 
@@ -169,11 +169,11 @@
             route,
             measure: *measure,
             new,
-            old: self.0.get(&(route.clone(), Side::Old, *measure)),
+            old: self.0.get(&(route.clone(), BuildSide::Old, *measure)),
         })
     }
 
-    fn add(&mut self, route: &Arc<str>, side: Side, measure: Measure, bin: u8, count: u32) {
+    fn add(&mut self, route: &Arc<str>, side: BuildSide, measure: Measure, bin: u8, count: u32) {
         let bins = self.0.entry((route.clone(), side, measure)).or_default();
         let known = bins.entry(bin).or_default();
         *known = known.saturating_add(count);
--- a/crates/routing/src/rollout/mod.rs
+++ b/crates/routing/src/rollout/mod.rs
@@ -11,18 +11,21 @@
 //! need no other coordination. A host without a record sends no requests to the new
 //! build.
 
+mod assessment;
 mod evidence;
 mod exposure;
-mod judge;
 mod order;
 mod runs;
 mod stage;
 
-pub use evidence::{AnswerSeen, Evidence, EvidenceSource, Measure, Side, Tally, TallyRow};
+pub use assessment::{BAD_LOG_ODDS, BuildAssessment, assess_build};
+pub use evidence::{
+    BuildSide, Evidence, EvidenceSource, Measure, ObservedResponse, Tally, TallyRow,
+};
 pub use exposure::{Exposure, ExposureBound};
-pub use judge::{BAD_LOG_ODDS, Judgement, judge};
 pub use order::{RolloutOrder, RolloutOrderRow, RolloutOrders};
-pub use runs::{BuildFilter, BuildUse, BuildWish, PoolBuilds, Rollouts};
+pub use runs::{BuildFilter, BuildRequest, BuildUse, PoolBuilds, Rollouts};
 pub use stage::{
-    Decision, MoveTimes, RolloutReason, RolloutRecord, RolloutStage, RolloutView, next_stage,
+    MoveSchedule, RolloutReason, RolloutRecord, RolloutStage, RolloutView, StageTransition,
+    next_stage,
 };
--- a/crates/routing/src/rollout/order.rs
+++ b/crates/routing/src/rollout/order.rs
@@ -57,7 +57,10 @@
 
 impl RolloutOrders {
     /// The orders that the store holds as of a version.
-    pub fn as_of(version: StoreVersion, rows: impl IntoIterator<Item = RolloutOrderRow>) -> Self {
+    pub fn from_snapshot(
+        version: StoreVersion,
+        rows: impl IntoIterator<Item = RolloutOrderRow>,
+    ) -> Self {
         let mut orders = Self {
             version,
             by_pool: BTreeMap::new(),
--- a/crates/routing/src/rollout/runs.rs
+++ b/crates/routing/src/rollout/runs.rs
@@ -8,7 +8,7 @@
 use chalkrock_core::{BuildVersion, PoolId};
 
 use crate::StoreVersion;
-use crate::rollout::evidence::{AnswerSeen, Evidence, Side};
+use crate::rollout::evidence::{BuildSide, Evidence, ObservedResponse};
 use crate::rollout::exposure::{Exposure, ExposureBound};
 use crate::rollout::order::{RolloutOrder, RolloutOrderRow, RolloutOrders, VersionedOrder};
 use crate::rollout::stage::{RolloutRecord, RolloutStage};
@@ -81,7 +81,7 @@
 
 /// A request to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct BuildWish<'a> {
+pub struct BuildRequest<'a> {
     /// Its pool.
     pub pool: &'a PoolId,
     /// Its route.
@@ -277,7 +277,7 @@
                 if version < known.version {
                     *known = StoredRecord::default();
                 }
-                self.take_record(pool, record, version, now_ms)
+                self.merge_record(pool, record, version, now_ms)
             }
             None => {
                 known.version = version;
@@ -444,21 +444,21 @@
         pool: &PoolId,
         route: &Arc<str>,
         build: &BuildVersion,
-        seen: AnswerSeen,
+        seen: ObservedResponse,
     ) {
         let record = self.record(pool).map(|(record, _)| record);
         let Some(record) = record.filter(|record| !record.stage.is_final()) else {
             return;
         };
         let side = if *build == record.build {
-            Side::New
+            BuildSide::New
         } else if record.from.contains(build) {
-            Side::Old
+            BuildSide::Old
         } else {
             return;
         };
         if let Some(run) = self.runs.get_mut(pool) {
-            run.evidence.count(route, side, seen);
+            run.evidence.record(route, side, seen);
         }
     }
 
--- a/crates/routing/src/rollout/stage.rs
+++ b/crates/routing/src/rollout/stage.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::StoreVersion;
-use crate::rollout::judge::Judgement;
+use crate::rollout::assessment::BuildAssessment;
 
 /// The stage of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -137,7 +137,7 @@
     pub reason: RolloutReason,
 }
 
-impl Decision {
+impl StageTransition {
     fn new(stage: RolloutStage, reason: RolloutReason) -> Option<Self> {
         Some(Self { stage, reason })
     }
@@ -181,13 +181,13 @@
     /// # Example
     ///
     /// ```
-    /// use chalkrock_routing::MoveTimes;
+    /// use chalkrock_routing::MoveSchedule;
     ///
-    /// let times = MoveTimes::of(12_000, 4_000);
+    /// let times = MoveSchedule::of(12_000, 4_000);
     /// assert_eq!(times.wanted_ms, 6_500.0);
     /// assert_eq!(times.last_ms, 8_500.0);
     /// ```
-    pub fn of(within_ms: u64, longest_stay_ms: u64) -> Self {
+    pub fn new(within_ms: u64, longest_stay_ms: u64) -> Self {
         let within_ms = within_ms as f64;
         let longest_ms = longest_stay_ms as f64;
         let wanted_ms = within_ms - longest_ms - PROPAGATION_MS;
@@ -203,9 +203,9 @@
 impl RolloutView {
     /// Age of the order at which each route moves, in milliseconds.
     pub fn moves_ms(&self) -> BTreeMap<Arc<str>, u64> {
-        let stays = self.longest_stays_ms.iter();
+        let stays = self.max_service_times_ms.iter();
         let moves = stays.map(|(route, stay_ms)| {
-            let times = MoveTimes::of(self.within_ms, *stay_ms);
+            let times = MoveSchedule::new(self.within_ms, *stay_ms);
             (route.clone(), times.wanted_ms as u64)
         });
         moves.collect()
@@ -216,12 +216,12 @@
 pub fn next_stage(view: &RolloutView) -> Option<Decision> {
     match view.stage {
         None if view.is_withdrawn => None,
-        None => Decision::new(RolloutStage::Canary, RolloutReason::Ordered),
+        None => StageTransition::new(RolloutStage::Canary, RolloutReason::Ordered),
         Some(RolloutStage::Canary | RolloutStage::Moving) if view.is_withdrawn => {
-            Decision::new(RolloutStage::RolledBack, RolloutReason::Withdrawn)
+            StageTransition::new(RolloutStage::RolledBack, RolloutReason::Withdrawn)
         }
-        Some(RolloutStage::Canary | RolloutStage::Moving) if view.judgement.is_bad() => {
-            Decision::new(RolloutStage::RolledBack, RolloutReason::Bad)
+        Some(RolloutStage::Canary | RolloutStage::Moving) if view.assessment.is_bad() => {
+            StageTransition::new(RolloutStage::RolledBack, RolloutReason::Bad)
         }
         Some(RolloutStage::Canary) => next_after_canary(view),
         Some(RolloutStage::Moving) => next_after_moving(view),
@@ -235,10 +235,10 @@
         return roll_back_if(is_past_deadline, RolloutReason::NoEndpoints);
     }
     if view.old_slots == 0 {
-        return Decision::new(RolloutStage::Moving, RolloutReason::Moved);
+        return StageTransition::new(RolloutStage::Moving, RolloutReason::Moved);
     }
-    let longest_ms = view.longest_stays_ms.values().max();
-    let times = MoveTimes::of(view.within_ms, longest_ms.copied().unwrap_or_default());
+    let longest_ms = view.max_service_times_ms.values().max();
+    let times = MoveSchedule::new(view.within_ms, longest_ms.copied().unwrap_or_default());
     let age_ms = view.age_ms as f64;
     let answers = view.judgement.answers;
     let favours_new_build = view.judgement.log_odds < EVEN_LOG_ODDS;
@@ -266,7 +266,7 @@
 
 fn next_after_moving(view: &RolloutView) -> Option<Decision> {
     if view.new_slots == 0 && view.old_slots > 0 {
-        return Decision::new(RolloutStage::RolledBack, RolloutReason::NoEndpoints);
+        return StageTransition::new(RolloutStage::RolledBack, RolloutReason::NoEndpoints);
     }
     if view.old_idle_ms >= MIN_IDLE_MS || view.old_slots == 0 {
         return Decision::new(RolloutStage::Done, RolloutReason::Moved);
--- a/crates/routing/src/readers.rs
+++ b/crates/routing/src/subscribers.rs
@@ -30,7 +30,7 @@
 
 /// A host of the same zone from which reports arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeardHost {
+pub struct ZonePeer {
     /// The hash of its name.
     pub hash: MemberHash,
     /// Its subscription role.
@@ -60,10 +60,10 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::doubting_part;
+/// use chalkrock_routing::stale_poll_fraction;
 ///
-/// assert_eq!(doubting_part(8), 1.0);
-/// assert_eq!(doubting_part(250), 0.001);
+/// assert_eq!(stale_poll_fraction(8), 1.0);
+/// assert_eq!(stale_poll_fraction(250), 0.001);
 /// ```
 pub fn doubting_part(hosts: usize) -> f64 {
     if hosts <= MAX_SMALL_FLEET_HOSTS {
@@ -114,15 +114,15 @@
     ///
     /// ```
     /// use chalkrock_core::rendezvous::MemberHash;
-    /// use chalkrock_routing::{HeardHost, SubscriptionRole, ZoneView};
+    /// use chalkrock_routing::{ZonePeer, SubscriptionRole, ZoneView};
     ///
-    /// let own = HeardHost {
+    /// let own = ZonePeer {
     ///     hash: MemberHash::of("host-1"),
     ///     reading: SubscriptionRole::No,
     ///     capacity_millicores: 250,
     /// };
     /// let alone = ZoneView { others: &[], hosts: 1, zones: 1 };
-    /// assert!(alone.reads_platform(&own));
+    /// assert!(alone.is_subscriber(&own));
     /// ```
     pub fn reads_platform(&self, local: &HeardHost) -> bool {
         let needed = self.readers_wanted();
@@ -131,7 +131,7 @@
         }
         let answered = || {
             let others = self.others.iter();
-            others.filter(|host| host.reading == SubscriptionRole::Answered)
+            others.filter(|host| host.role == SubscriptionRole::Answered)
         };
         let unanswered = self.others.iter();
         let unanswered = unanswered.filter(|host| host.reading == SubscriptionRole::Unanswered);
--- a/crates/routing/src/follow_times.rs
+++ b/crates/routing/src/subscription_timings.rs
@@ -6,7 +6,7 @@
 //! was answered for [`stale_after_ms`], hosts poll with calls that return at once, each
 //! after a random delay. The first answer ends the polling of all hosts.
 //!
-//! [`stale_after_ms`]: FollowTimes::stale_after_ms
+//! [`staleness_timeout_ms`]: SubscriptionTimings::staleness_timeout_ms
 
 /// Time of a call that the store answers at once, on a slow host.
 const ANSWER_DELAY_MS: u64 = 60;
@@ -31,10 +31,10 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::FollowTimes;
+/// use chalkrock_routing::SubscriptionTimings;
 ///
-/// let times = FollowTimes::within(3_000);
-/// assert!(times.worst_ms() < 3_000);
+/// let times = SubscriptionTimings::within(3_000);
+/// assert!(times.worst_case_ms() < 3_000);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowTimes {
--- a/crates/routing/src/pause.rs
+++ b/crates/routing/src/suspension.rs
@@ -34,15 +34,19 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::{ClockReading, pause_between};
+/// use chalkrock_routing::{ClockReading, detect_suspension};
 ///
 /// let before = ClockReading { steady_ms: 10, boot_ms: 50_000 };
 /// let after = ClockReading { steady_ms: 210, boot_ms: 55_200 };
-/// let pause = pause_between(before, after, 200).expect("a suspension");
+/// let pause = detect_suspension(before, after, 200).expect("a suspension");
 /// assert_eq!(pause.length_ms, 5_000);
 /// assert_eq!(pause.uncounted_ms, 5_000);
 /// ```
-pub fn pause_between(before: ClockReading, after: ClockReading, due_ms: u64) -> Option<Pause> {
+pub fn detect_suspension(
+    before: ClockReading,
+    after: ClockReading,
+    due_ms: u64,
+) -> Option<Suspension> {
     let steady_ms = after.steady_ms.saturating_sub(before.steady_ms);
     let boot_ms = after.boot_ms.saturating_sub(before.boot_ms);
     let difference_ms = boot_ms.saturating_sub(steady_ms);
--- a/crates/routing/src/zone_loads.rs
+++ b/crates/routing/src/zone_loads.rs
@@ -12,7 +12,7 @@
 
 /// How an aggregate of a remote zone arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SumPath {
+pub enum AggregatePath {
     /// From a relay of that zone.
     Direct,
     /// Through a relay of the same zone. It is not passed on, or relays would keep it
