--- a/crates/routing/src/fleet_load.rs
+++ b/crates/routing/src/fleet_load.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// It is the newest of its host.
-    Taken,
+    Applied,
     /// It is late, a duplicate or from an earlier incarnation.
-    Old,
+    Stale,
 }
 
 #[derive(Clone, Debug)]
@@ -51,13 +51,13 @@
 ///
 /// let mut load: FleetLoad<u32> = FleetLoad::default();
 /// load.begin(7);
-/// assert_eq!(load.of(7), 1);
+/// assert_eq!(load.in_progress(7), 1);
 /// load.end(7);
-/// assert_eq!(load.of(7), 0);
+/// assert_eq!(load.in_progress(7), 0);
 /// ```
 #[derive(Clone, Debug)]
 pub struct FleetLoad<H> {
-    local: InFlightCounters,
+    local_in_progress: InFlightCounters,
     hosts: HashMap<H, KnownReport>,
     /// Aggregates of remote zones.
     zones: HashMap<u32, ZoneLoads<H>>,
@@ -67,13 +67,13 @@
     /// Aggregates of the whole fleet, from relays of the same zone.
     totals: FleetTotals<H>,
     /// Whether `totals` cover more hosts than the direct reports do.
-    goes_by_totals: bool,
+    uses_fleet_aggregate: bool,
 }
 
 impl<H> Default for FleetLoad<H> {
     fn default() -> Self {
         Self {
-            local: InFlightCounters::default(),
+            local_in_progress: InFlightCounters::default(),
             hosts: HashMap::new(),
             zones: HashMap::new(),
             others: InFlightCounters::default(),
@@ -86,17 +86,17 @@
 impl<H: Clone + Eq + Hash + Ord> FleetLoad<H> {
     /// Counts a request that begins on an endpoint.
     pub fn begin(&mut self, endpoint: u32) {
-        self.local.begin(endpoint);
+        self.local_in_progress.begin(endpoint);
     }
 
     /// Counts a request that ends.
     pub fn end(&mut self, endpoint: u32) {
-        self.local.end(endpoint);
+        self.local_in_progress.end(endpoint);
     }
 
     /// Requests of this host on an endpoint.
-    pub fn own(&self, endpoint: u32) -> u32 {
-        self.local.get(endpoint)
+    pub fn local_in_progress(&self, endpoint: u32) -> u32 {
+        self.local_in_progress.get(endpoint)
     }
 
     /// Requests of the whole fleet on an endpoint.
@@ -106,8 +106,8 @@
     }
 
     /// Requests of the other hosts on an endpoint.
-    pub fn of_others(&self, endpoint: u32) -> u32 {
-        if self.goes_by_totals {
+    pub fn remote_in_progress(&self, endpoint: u32) -> u32 {
+        if self.uses_fleet_aggregate {
             self.totals.remote_in_progress(endpoint)
         } else {
             self.others.get(endpoint)
@@ -118,7 +118,7 @@
     /// interval for each hop.
     pub fn report_age_ms(&self) -> f64 {
         const RELAYED_HOPS: f64 = 3.0;
-        let hops = if self.goes_by_totals || !self.zones.is_empty() {
+        let hops = if self.uses_fleet_aggregate || !self.zones.is_empty() {
             RELAYED_HOPS
         } else {
             1.0
@@ -127,13 +127,13 @@
     }
 
     /// All requests of this host.
-    pub fn own_total(&self) -> u32 {
-        self.local.total()
+    pub fn local_total(&self) -> u32 {
+        self.local_in_progress.total()
     }
 
     /// All requests of the fleet.
     pub fn total(&self) -> u32 {
-        let others = if self.goes_by_totals {
+        let others = if self.uses_fleet_aggregate {
             self.totals.remote_total()
         } else {
             self.others.total()
@@ -147,7 +147,7 @@
         let report = HostReport {
             incarnation,
             sequence,
-            counts: self.local.counts(),
+            counts: self.local_in_progress.counts(),
         };
         self.totals.remember(&report);
         report
@@ -156,7 +156,7 @@
     /// Merges a report if it is the newest of its host. An earlier incarnation is
     /// accepted once the known one has expired: incarnations are times of day, and a
     /// clock may step back.
-    pub fn merge(&mut self, host: H, report: HostReport, now_ms: u64) -> Merged {
+    pub fn merge(&mut self, host: H, report: HostReport, now_ms: u64) -> MergeOutcome {
         let of = |report: &HostReport| (report.incarnation, report.sequence);
         if let Some(known) = self.hosts.get(&host)
             && is_recent(known.received_at_ms, now_ms)
@@ -173,11 +173,17 @@
             self.others.remove(&earlier.report.counts);
         }
         self.select_source();
-        Merged::Taken
+        MergeOutcome::Applied
     }
 
     /// Merges an aggregate of a remote zone, or a chunk of it, from a relay.
-    pub fn merge_zone(&mut self, relay: H, chunk: ZoneSum, path: SumPath, now_ms: u64) {
+    pub fn merge_zone_aggregate(
+        &mut self,
+        relay: H,
+        chunk: ZoneAggregate,
+        path: AggregatePath,
+        now_ms: u64,
+    ) {
         let zone_loads = self.zones.entry(chunk.zone).or_default();
         zone_loads.merge(relay, &chunk, path, now_ms, &mut self.others);
         self.select_source();
@@ -185,11 +191,11 @@
 
     /// Merges an aggregate of the whole fleet, or a chunk of it, from a relay of the
     /// same zone. `includes` names the report of this host that it includes, if any.
-    pub fn merge_totals(
+    pub fn merge_fleet_aggregate(
         &mut self,
         relay: H,
-        chunk: &ZoneSum,
-        includes: Option<OwnReport>,
+        chunk: &ZoneAggregate,
+        includes: Option<ReportId>,
         now_ms: u64,
     ) {
         self.totals.merge(relay, chunk, includes, now_ms);
@@ -199,8 +205,8 @@
     /// The aggregate of the whole fleet for the hosts of this zone. It leaves out other
     /// relays' aggregates of the fleet, which would otherwise keep each other from
     /// expiring.
-    pub fn fleet_sum(&self, zone: u32) -> ZoneSum {
-        let mut totals = self.local.clone();
+    pub fn fleet_aggregate(&self, zone: u32) -> ZoneAggregate {
+        let mut totals = self.local_in_progress.clone();
         totals.add(&self.others.counts());
         ZoneAggregate {
             zone,
@@ -211,19 +217,19 @@
     }
 
     /// The report of a host that is included in the counts.
-    pub fn counted_report(&self, host: &H) -> Option<OwnReport> {
+    pub fn included_report(&self, host: &H) -> Option<ReportId> {
         let known = self.hosts.get(host)?;
         Some(ReportId::of(&known.report))
     }
 
     /// Whether this host uses the relays' aggregates of the whole fleet.
-    pub fn goes_by_totals(&self) -> bool {
-        self.goes_by_totals
+    pub fn uses_fleet_aggregate(&self) -> bool {
+        self.uses_fleet_aggregate
     }
 
     /// The number of known hosts, including this one.
-    pub fn hosts_known(&self) -> usize {
-        if self.goes_by_totals {
+    pub fn known_host_count(&self) -> usize {
+        if self.uses_fleet_aggregate {
             self.totals.hosts()
         } else {
             self.direct_host_count()
@@ -231,17 +237,17 @@
     }
 
     fn direct_host_count(&self) -> usize {
-        1 + self.hosts.len() + self.far_hosts()
+        1 + self.hosts.len() + self.remote_host_count()
     }
 
     /// Uses the source that covers more hosts.
     fn select_source(&mut self) {
-        self.goes_by_totals = self.totals.hosts() > self.direct_host_count();
+        self.uses_fleet_aggregate = self.totals.hosts() > self.direct_host_count();
     }
 
     /// The aggregate of this host and those of its zone, for remote zones.
-    pub fn zone_sum(&self, zone: u32, now_ms: u64) -> ZoneSum {
-        let mut totals = self.local.clone();
+    pub fn zone_aggregate(&self, zone: u32, now_ms: u64) -> ZoneAggregate {
+        let mut totals = self.local_in_progress.clone();
         let recent = self.hosts.values();
         let recent = recent.filter(|known| is_recent(known.received_at_ms, now_ms));
         let mut hosts = 1;
@@ -258,12 +264,13 @@
     }
 
     /// Aggregates received directly from remote zones, to pass on within this zone.
-    pub fn far_sums(&self, now_ms: u64) -> Vec<ZoneSum> {
+    pub fn remote_zone_aggregates(&self, now_ms: u64) -> Vec<ZoneAggregate> {
         let zones = self.zones.iter();
-        let sums = zones.filter_map(|(&zone, zone_loads)| zone_loads.best_direct(zone, now_ms));
-        let mut sums: Vec<ZoneSum> = sums.collect();
-        sums.sort_by_key(|sum| sum.zone);
-        sums
+        let aggregates =
+            zones.filter_map(|(&zone, zone_loads)| zone_loads.best_direct(zone, now_ms));
+        let mut aggregates: Vec<ZoneAggregate> = aggregates.collect();
+        aggregates.sort_by_key(|aggregate| aggregate.zone);
+        aggregates
     }
 
     /// Drops expired counts.
@@ -285,19 +292,19 @@
     }
 
     /// Hosts that the aggregates of remote zones cover.
-    pub fn far_hosts(&self) -> usize {
+    pub fn remote_host_count(&self) -> usize {
         self.zones.values().map(ZoneLoads::hosts).sum()
     }
 
     /// Other hosts with a report that has not expired.
-    pub fn hosts_heard(&self, now_ms: u64) -> usize {
-        if self.goes_by_totals {
+    pub fn recent_host_count(&self, now_ms: u64) -> usize {
+        if self.uses_fleet_aggregate {
             return self.totals.hosts().saturating_sub(1);
         }
         let recent = self.hosts.values();
         let same_zone = recent
             .filter(|known| is_recent(known.received_at_ms, now_ms))
             .count();
-        same_zone + self.far_hosts()
+        same_zone + self.remote_host_count()
     }
 }
--- a/crates/routing/src/fleet_totals.rs
+++ b/crates/routing/src/fleet_totals.rs
@@ -17,14 +17,14 @@
 
 /// Identifies one report of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnReport {
+pub struct ReportId {
     /// Incarnation of the host.
     pub incarnation: u64,
     /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
-impl OwnReport {
+impl ReportId {
     /// The identifier of a report.
     pub fn of(report: &HostReport) -> Self {
         Self {
@@ -40,7 +40,7 @@
     relays: ZoneLoads<H>,
     aggregate: InFlightCounters,
     /// Which local report each relay's aggregate includes.
-    includes: HashMap<H, OwnReport>,
+    includes: HashMap<H, ReportId>,
     /// Recent local reports, oldest first.
     reports: VecDeque<HostReport>,
     /// This host's requests in the selected aggregate.
@@ -70,16 +70,21 @@
     pub(crate) fn merge(
         &mut self,
         relay: H,
-        chunk: &ZoneSum,
-        includes: Option<OwnReport>,
+        chunk: &ZoneAggregate,
+        includes: Option<ReportId>,
         now_ms: u64,
     ) {
         match includes {
             Some(includes) => self.includes.insert(relay.clone(), includes),
             None => self.includes.remove(&relay),
         };
-        self.relays
-            .merge(relay, chunk, SumPath::Direct, now_ms, &mut self.aggregate);
+        self.relays.merge(
+            relay,
+            chunk,
+            AggregatePath::Direct,
+            now_ms,
+            &mut self.aggregate,
+        );
         self.find_local_report();
     }
 
--- a/crates/routing/src/poison.rs
+++ b/crates/routing/src/poison.rs
@@ -2,8 +2,8 @@
 //!
 //! A crash ends all requests of an endpoint, and a single crash does not show which of
 //! them caused it. Each host records the requests that ran at a crash, by fingerprint,
-//! and hosts exchange these records. After [`CRASHES_MAX`] crashes, all hosts reject
-//! the request for [`POISON_MS`].
+//! and hosts exchange these records. After [`MAX_CRASHES`] crashes, all hosts reject
+//! the request for [`POISON_RETENTION_MS`].
 //!
 //! A completed run clears a request. This keeps requests whose fingerprint repeats
 //! often, such as calls without a body, from being rejected because they run at every
@@ -17,15 +17,15 @@
 
 /// Crashes after which a request is rejected. Two would reject requests that were only
 /// moved to a second endpoint after the first one crashed.
-pub const CRASHES_MAX: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 /// Run time, in milliseconds, from which a crash counts half: a poison request crashes
 /// its endpoint soon after it begins to run.
 pub const LONG_RUN_MS: u64 = 500;
 const SHORT_RUN_WEIGHT: usize = 2;
 const LONG_RUN_WEIGHT: usize = 1;
-const POISON_WEIGHT: usize = CRASHES_MAX * SHORT_RUN_WEIGHT;
+const POISON_WEIGHT: usize = MAX_CRASHES * SHORT_RUN_WEIGHT;
 /// How long, in milliseconds, a request is rejected and its crashes are remembered.
-pub const POISON_MS: u64 = 600_000;
+pub const POISON_RETENTION_MS: u64 = 600_000;
 const MAX_SUSPECTS: usize = 4_096;
 const MAX_COMPLETED: usize = 1_024;
 /// Messages that carry each update, so that one lost datagram does not lose it.
@@ -36,7 +36,7 @@
 
 /// An update about a request, sent between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum PoisonNews {
+pub enum PoisonUpdate {
     /// An endpoint crashed while the request ran on it.
     EndedUnder {
         /// The request.
@@ -61,7 +61,7 @@
 
 /// A change of a host's view of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum PoisonVerdict {
     /// The request is rejected from now on.
     Poison {
         /// The request.
@@ -125,8 +125,8 @@
 }
 
 impl Crash {
-    fn update(self) -> PoisonNews {
-        PoisonNews::EndedUnder {
+    fn update(self) -> PoisonUpdate {
+        PoisonUpdate::EndedUnder {
             request: self.request,
             start: self.start,
             ran_long: self.ran_long,
@@ -136,7 +136,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    update: PoisonNews,
+    update: PoisonUpdate,
     sends_left: u8,
     queued_at_ms: u64,
 }
@@ -169,13 +169,13 @@
 impl PoisonEvidence {
     /// Records a crash under a request that this host sent and that had been answering
     /// for `ran_ms`.
-    pub fn ended_under(
+    pub fn record_crash(
         &mut self,
         request: RequestFingerprint,
         start: u32,
         ran_ms: u64,
         now_ms: u64,
-    ) -> Option<Verdict> {
+    ) -> Option<PoisonVerdict> {
         if self.completed.contains(&request) {
             return None;
         }
@@ -190,10 +190,14 @@
     }
 
     /// Records a completed run of a request.
-    pub fn ended_well(&mut self, request: RequestFingerprint, now_ms: u64) -> Option<Verdict> {
+    pub fn record_completion(
+        &mut self,
+        request: RequestFingerprint,
+        now_ms: u64,
+    ) -> Option<PoisonVerdict> {
         self.remember_completed(request);
         let suspect = self.suspects.remove(&request)?;
-        self.queue_update(PoisonNews::RanWell(request), now_ms);
+        self.queue_update(PoisonUpdate::RanWell(request), now_ms);
         let records = true;
         suspect
             .is_poison
@@ -202,11 +206,16 @@
 
     /// Merges updates of another host, queues new ones for sending if `forwards`, and
     /// returns the changed verdicts.
-    pub fn merge(&mut self, updates: &[PoisonNews], forwards: bool, now_ms: u64) -> Vec<Verdict> {
+    pub fn merge(
+        &mut self,
+        updates: &[PoisonUpdate],
+        forwards: bool,
+        now_ms: u64,
+    ) -> Vec<PoisonVerdict> {
         let mut verdicts = Vec::new();
         for &update in updates {
             let is_new = match update {
-                PoisonNews::EndedUnder {
+                PoisonUpdate::EndedUnder {
                     request,
                     start,
                     ran_long,
@@ -220,7 +229,7 @@
                     verdicts.extend(self.count_crash(crash, false, now_ms));
                     is_new
                 }
-                PoisonNews::RanWell(request) => {
+                PoisonUpdate::RanWell(request) => {
                     let is_new = !self.completed.contains(&request);
                     self.remember_completed(request);
                     let suspect = self.suspects.remove(&request);
@@ -239,13 +248,17 @@
     }
 
     /// Merges the poison requests of another host. Returns those that are new here.
-    pub fn merge_poison(&mut self, poison_requests: &[PoisonRequest], now_ms: u64) -> Vec<Verdict> {
+    pub fn merge_poison(
+        &mut self,
+        poison_requests: &[PoisonRequest],
+        now_ms: u64,
+    ) -> Vec<PoisonVerdict> {
         let mut verdicts = Vec::new();
         for poison in poison_requests {
             let request = poison.request;
             if self.completed.contains(&request) {
                 // The sender has not received the completion.
-                self.queue_update(PoisonNews::RanWell(request), now_ms);
+                self.queue_update(PoisonUpdate::RanWell(request), now_ms);
                 continue;
             }
             let until_ms = now_ms + u64::from(poison.left_ms);
@@ -265,7 +278,7 @@
     }
 
     /// How much longer a request is rejected, in milliseconds.
-    pub fn left_ms(&self, request: RequestFingerprint, now_ms: u64) -> Option<u64> {
+    pub fn remaining_ms(&self, request: RequestFingerprint, now_ms: u64) -> Option<u64> {
         let suspect = self.suspects.get(&request)?;
         let left_ms = suspect.until_ms.saturating_sub(now_ms);
         (suspect.is_poison && left_ms > 0).then_some(left_ms)
@@ -278,16 +291,16 @@
     }
 
     /// Restarts the rejection period of a request that arrived again.
-    pub fn came_again(&mut self, request: RequestFingerprint, now_ms: u64) {
+    pub fn record_repeat(&mut self, request: RequestFingerprint, now_ms: u64) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.until_ms = now_ms + POISON_RETENTION_MS;
         }
     }
 
     /// Up to `limit` poison requests, those with the most time left first.
-    pub fn poison(&self, limit: usize, now_ms: u64) -> Vec<PoisonRequest> {
+    pub fn poison_requests(&self, limit: usize, now_ms: u64) -> Vec<PoisonRequest> {
         let poison_requests = self.suspects.keys().filter_map(|request| {
-            let left_ms = self.left_ms(*request, now_ms)?;
+            let left_ms = self.remaining_ms(*request, now_ms)?;
             Some(PoisonRequest {
                 request: *request,
                 left_ms: u32::try_from(left_ms).unwrap_or(u32::MAX),
@@ -301,7 +314,7 @@
 
     /// Takes up to `limit` updates to send to other hosts. Each is returned several
     /// times.
-    pub fn take_pending(&mut self, limit: usize, now_ms: u64) -> Vec<PoisonNews> {
+    pub fn take_updates(&mut self, limit: usize, now_ms: u64) -> Vec<PoisonUpdate> {
         let is_fresh =
             |pending: &Pending| now_ms.saturating_sub(pending.queued_at_ms) <= MAX_UPDATE_AGE_MS;
         self.pending.retain(is_fresh);
@@ -331,22 +344,22 @@
         !self.completed.contains(&request) && !self.suspects.get(&request).is_some_and(is_known)
     }
 
-    fn count_crash(&mut self, crash: Crash, is_local: bool, now_ms: u64) -> Option<Verdict> {
+    fn count_crash(&mut self, crash: Crash, is_local: bool, now_ms: u64) -> Option<PoisonVerdict> {
         let request = crash.request;
         if self.completed.contains(&request) {
-            self.queue_update(PoisonNews::RanWell(request), now_ms);
+            self.queue_update(PoisonUpdate::RanWell(request), now_ms);
             return None;
         }
         let suspect = self.suspect(request, now_ms);
         suspect.is_local |= is_local;
-        suspect.until_ms = now_ms + POISON_MS;
+        suspect.until_ms = now_ms + POISON_RETENTION_MS;
         suspect.count_crash(crash.start, crash.ran_long);
         if suspect.is_poison || suspect.weight() < POISON_WEIGHT {
             return None;
         }
         suspect.is_poison = true;
         let records = suspect.is_local;
-        Some(Verdict::Poison { request, records })
+        Some(PoisonVerdict::Poison { request, records })
     }
 
     /// The entry of a request; evicts others if the table is full.
@@ -389,7 +402,7 @@
         }
     }
 
-    fn queue_update(&mut self, update: PoisonNews, now_ms: u64) {
+    fn queue_update(&mut self, update: PoisonUpdate, now_ms: u64) {
         let is_queued = self.pending.iter().any(|pending| pending.update == update);
         if is_queued || self.pending.len() >= MAX_PENDING_UPDATES {
             return;
--- a/crates/routing/src/prefix_directory.rs
+++ b/crates/routing/src/prefix_directory.rs
@@ -40,8 +40,8 @@
 ///
 /// let mut directory = PrefixDirectory::default();
 /// let entry = CacheEntry { part: 7, endpoint: 1 };
-/// assert!(directory.note(entry, 0));
-/// assert!(!directory.note(entry, 100));
+/// assert!(directory.record(entry, 0));
+/// assert!(!directory.record(entry, 100));
 /// assert!(directory.holds(7, 1, 100));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -52,7 +52,7 @@
 impl PrefixDirectory {
     /// Records that an endpoint holds a part, as a request of this host showed. Returns
     /// whether to send the entry to other hosts.
-    pub fn note(&mut self, entry: CacheEntry, now_ms: u64) -> bool {
+    pub fn record(&mut self, entry: CacheEntry, now_ms: u64) -> bool {
         let Some(holder) = self.holder_mut(entry, now_ms) else {
             return false;
         };
@@ -69,7 +69,7 @@
     /// Merges an entry of another host. Returns whether to send it to hosts that did
     /// not receive it.
     pub fn merge(&mut self, entry: CacheEntry, now_ms: u64) -> bool {
-        self.note(entry, now_ms)
+        self.record(entry, now_ms)
     }
 
     /// Whether an endpoint holds a part.
--- a/crates/routing/src/rollout/assessment.rs
+++ b/crates/routing/src/rollout/assessment.rs
@@ -33,7 +33,7 @@
 
 /// The assessment of a new build.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Judgement {
+pub struct BuildAssessment {
     /// Natural logarithm of the odds that it is bad, by its worst test.
     pub log_odds: f64,
     /// The measure of that test.
@@ -83,19 +83,19 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_routing::{ObservedResponse, BuildSide, Tally, judge};
+/// use chalkrock_routing::{BuildSide, ObservedResponse, Tally, assess_build};
 ///
 /// let route = "chat".into();
 /// let whole = ObservedResponse::Ended { pace_ms: None };
 /// let mut tally = Tally::default();
-/// (0..200).for_each(|_| tally.count(&route, BuildSide::Old, whole));
-/// (0..20).for_each(|_| tally.count(&route, BuildSide::New, whole));
+/// (0..200).for_each(|_| tally.record(&route, BuildSide::Old, whole));
+/// (0..20).for_each(|_| tally.record(&route, BuildSide::New, whole));
 /// assert!(!assess_build(&tally).is_bad());
-/// (0..5).for_each(|_| tally.count(&route, BuildSide::New, ObservedResponse::Failed));
+/// (0..5).for_each(|_| tally.record(&route, BuildSide::New, ObservedResponse::Failed));
 /// assert!(assess_build(&tally).is_bad());
 /// ```
-pub fn judge(tally: &Tally) -> Judgement {
-    let mut assessment = Judgement {
+pub fn assess_build(tally: &Tally) -> BuildAssessment {
+    let mut assessment = BuildAssessment {
         log_odds: f64::NEG_INFINITY,
         answers: tally.answers(BuildSide::New),
         failures: tally.failures(BuildSide::New),
@@ -121,7 +121,7 @@
     assessment
 }
 
-impl Judgement {
+impl BuildAssessment {
     fn include(&mut self, counts: &[Counts], measure: Measure, route: Option<&Arc<str>>) {
         let log_odds = log_odds(counts);
         if log_odds > self.log_odds {
--- a/crates/routing/src/rollout/evidence.rs
+++ b/crates/routing/src/rollout/evidence.rs
@@ -13,7 +13,7 @@
 /// The build that answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Side {
+pub enum BuildSide {
     /// A build that the pool moves from.
     Old,
     /// The build that it moves to.
@@ -44,7 +44,7 @@
 /// An event of an answer. The first byte is an event of its own, since slow answers
 /// take long to complete.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AnswerSeen {
+pub enum ObservedResponse {
     /// The first byte arrived.
     Began {
         /// Time from the send to the first byte, in milliseconds.
@@ -68,7 +68,7 @@
     /// The route.
     pub route: Arc<str>,
     /// The build that answered.
-    pub side: Side,
+    pub side: BuildSide,
     /// The measure.
     pub measure: Measure,
     /// Answers by bin.
@@ -116,9 +116,9 @@
 
 impl Tally {
     /// Counts an event of an answer to a request of a route.
-    pub fn count(&mut self, route: &Arc<str>, side: Side, event: AnswerSeen) {
+    pub fn record(&mut self, route: &Arc<str>, side: BuildSide, event: ObservedResponse) {
         match event {
-            AnswerSeen::Began {
+            ObservedResponse::Began {
                 first_byte_ms,
                 holds_prefix,
             } => {
@@ -149,14 +149,14 @@
     }
 
     /// The number of answers of a side.
-    pub fn answers(&self, side: Side) -> u32 {
+    pub fn answers(&self, side: BuildSide) -> u32 {
         let rows = self.0.iter();
         let side_rows = rows.filter(|((_, of, measure), _)| *of == side && !measure.is_time());
         side_rows.flat_map(|(_, bins)| bins.values()).sum()
     }
 
     /// The number of failures of a side.
-    pub fn failures(&self, side: Side) -> u32 {
+    pub fn failures(&self, side: BuildSide) -> u32 {
         let rows = self.0.iter();
         let side_rows = rows.filter(|((_, of, measure), _)| *of == side && !measure.is_time());
         side_rows.filter_map(|(_, bins)| bins.get(&1)).sum()
@@ -164,7 +164,10 @@
 
     /// Each route and measure with answers of the new build.
     pub(super) fn strata(&self) -> impl Iterator<Item = Stratum<'_>> {
-        let new_rows = self.0.iter().filter(|((_, side, _), _)| *side == Side::New);
+        let new_rows = self
+            .0
+            .iter()
+            .filter(|((_, side, _), _)| *side == BuildSide::New);
         new_rows.map(|((route, _, measure), new)| Stratum {
             route,
             measure: *measure,
@@ -208,31 +211,31 @@
 /// Tallies of the whole fleet, as one host knows them.
 #[derive(Clone, Debug)]
 pub struct Evidence<H> {
-    local: Tally,
+    local_tally: Tally,
     reported: HashMap<EvidenceSource<H>, Tally>,
     /// Maximum service time of each route on any host.
-    longest_stays_ms: BTreeMap<Arc<str>, u64>,
+    max_service_times_ms: BTreeMap<Arc<str>, u64>,
 }
 
 impl<H> Default for Evidence<H> {
     fn default() -> Self {
         Self {
-            local: Tally::default(),
+            local_tally: Tally::default(),
             reported: HashMap::new(),
-            longest_stays_ms: BTreeMap::new(),
+            max_service_times_ms: BTreeMap::new(),
         }
     }
 }
 
 impl<H: Clone + Eq + Hash> Evidence<H> {
     /// Counts an event of an answer to this host.
-    pub fn count(&mut self, route: &Arc<str>, side: Side, event: AnswerSeen) {
-        self.local.count(route, side, event);
+    pub fn record(&mut self, route: &Arc<str>, side: BuildSide, event: ObservedResponse) {
+        self.local_tally.record(route, side, event);
     }
 
     /// The tally of this host.
-    pub fn own(&self) -> &Tally {
-        &self.local
+    pub fn local_tally(&self) -> &Tally {
+        &self.local_tally
     }
 
     /// Merges a tally, except rows with fewer answers than already known from its source.
@@ -248,19 +251,19 @@
     }
 
     /// Records the service time of a request, on any host, in milliseconds.
-    pub fn stayed(&mut self, route: &Arc<str>, stayed_ms: u64) {
-        let longest_ms = self.longest_stays_ms.entry(route.clone()).or_default();
-        *longest_ms = stayed_ms.max(*longest_ms);
+    pub fn record_service_time(&mut self, route: &Arc<str>, service_ms: u64) {
+        let max_ms = self.max_service_times_ms.entry(route.clone()).or_default();
+        *max_ms = service_ms.max(*max_ms);
     }
 
     /// Maximum service time of each route, in milliseconds.
-    pub fn longest_stays_ms(&self) -> &BTreeMap<Arc<str>, u64> {
-        &self.longest_stays_ms
+    pub fn max_service_times_ms(&self) -> &BTreeMap<Arc<str>, u64> {
+        &self.max_service_times_ms
     }
 
     /// The tally of this host and those of its zone, for remote zones.
-    pub fn zone_sum(&self) -> Tally {
-        let mut total = self.local.clone();
+    pub fn zone_tally(&self) -> Tally {
+        let mut total = self.local_tally.clone();
         for (source, tally) in &self.reported {
             if matches!(source, EvidenceSource::Host { .. }) {
                 total.add_all(tally);
@@ -271,10 +274,10 @@
 
     /// The tally of the whole fleet. A zone's relays cover the same hosts, so that only
     /// the tally with most answers is used.
-    pub fn sum(&self) -> Tally {
-        let mut total = self.zone_sum();
+    pub fn combined_tally(&self) -> Tally {
+        let mut total = self.zone_tally();
         let mut zones: HashMap<u32, &Tally> = HashMap::new();
-        let answers = |tally: &Tally| tally.answers(Side::Old) + tally.answers(Side::New);
+        let answers = |tally: &Tally| tally.answers(BuildSide::Old) + tally.answers(BuildSide::New);
         for (source, tally) in &self.reported {
             if let EvidenceSource::Zone { zone, .. } = source {
                 let best = zones.entry(*zone).or_insert(tally);
--- a/crates/routing/src/rollout/exposure.rs
+++ b/crates/routing/src/rollout/exposure.rs
@@ -47,7 +47,7 @@
 ///
 /// let mut exposure = Exposure::new(ExposureBound::default(), 12_000, 0.5);
 /// let route = "chat".into();
-/// let exposed = (0..1_000).filter(|age_ms| exposure.takes(&route, *age_ms, 62)).count();
+/// let exposed = (0..1_000).filter(|age_ms| exposure.admits(&route, *age_ms, 62)).count();
 /// assert_eq!(exposed, 50);
 /// ```
 #[derive(Clone, Debug)]
@@ -98,7 +98,7 @@
 
     /// Counts a request of a route, and returns whether it goes to the new build.
     /// `hosts` is the number of hosts in the fleet.
-    pub fn takes(&mut self, route: &Arc<str>, age_ms: u64, hosts: usize) -> bool {
+    pub fn admits(&mut self, route: &Arc<str>, age_ms: u64, hosts: usize) -> bool {
         let share = self.local_share(age_ms, hosts);
         let initial_credit = self.initial_credit;
         self.requests += 1;
--- a/crates/routing/src/rollout/order.rs
+++ b/crates/routing/src/rollout/order.rs
@@ -44,9 +44,10 @@
 ///
 /// let row = |version, order| RolloutOrderRow { version, pool: "chat".into(), order };
 /// let order = RolloutOrder { build: "v2".into(), within_ms: 12_000 };
-/// let mut known = RolloutOrders::as_of(StoreVersion(7), [row(StoreVersion(5), Some(order))]);
-/// let taken_back = RolloutOrders::as_of(StoreVersion(9), []);
-/// assert!(known.merge(&taken_back));
+/// let ordered = [row(StoreVersion(5), Some(order))];
+/// let mut known = RolloutOrders::from_snapshot(StoreVersion(7), ordered);
+/// let withdrawn = RolloutOrders::from_snapshot(StoreVersion(9), []);
+/// assert!(known.merge(&withdrawn));
 /// assert_eq!(known.get(&"chat".into()), None);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +86,7 @@
     /// Replaces the orders after a full read. A later era means that the store was
     /// restored from a backup that may lack recent writes: known orders of pools
     /// without a row stay.
-    pub fn read(&mut self, mut other: RolloutOrders) -> bool {
+    pub fn replace(&mut self, mut other: RolloutOrders) -> bool {
         if other.version.era() > self.version.era() {
             for (pool, versioned_order) in &self.by_pool {
                 let entry = other.by_pool.entry(pool.clone());
@@ -97,7 +98,7 @@
 
     /// Applies changes of the store up to `until`, oldest first, without a gap after
     /// the known version. Returns whether any order changed.
-    pub fn follow(&mut self, rows: &[RolloutOrderRow], until: StoreVersion) -> bool {
+    pub fn apply_changes(&mut self, rows: &[RolloutOrderRow], until: StoreVersion) -> bool {
         let mut next = self.clone();
         for row in rows.iter().filter(|row| row.version > self.version) {
             next.apply(row.clone());
--- a/crates/routing/src/rollout/runs.rs
+++ b/crates/routing/src/rollout/runs.rs
@@ -163,26 +163,26 @@
     }
 
     /// Merges orders from another host or a read. `draw` is a random number in [0, 1).
-    pub fn take_orders(&mut self, orders: &RolloutOrders, draw: f64, now_ms: u64) -> bool {
+    pub fn merge_orders(&mut self, orders: &RolloutOrders, draw: f64, now_ms: u64) -> bool {
         let has_changed = self.orders.merge(orders);
         self.start_ordered(has_changed, draw, now_ms)
     }
 
     /// Replaces the orders after a full read.
-    pub fn read_orders(&mut self, orders: RolloutOrders, draw: f64, now_ms: u64) -> bool {
-        let has_changed = self.orders.read(orders);
+    pub fn replace_orders(&mut self, orders: RolloutOrders, draw: f64, now_ms: u64) -> bool {
+        let has_changed = self.orders.replace(orders);
         self.start_ordered(has_changed, draw, now_ms)
     }
 
     /// Applies changes of the store to the orders.
-    pub fn follow(
+    pub fn apply_order_changes(
         &mut self,
         rows: &[RolloutOrderRow],
         until: StoreVersion,
         draw: f64,
         now_ms: u64,
     ) -> bool {
-        let has_changed = self.orders.follow(rows, until);
+        let has_changed = self.orders.apply_changes(rows, until);
         self.start_ordered(has_changed, draw, now_ms)
     }
 
@@ -224,7 +224,7 @@
     }
 
     /// Merges the age of a pool's order as another host knows it, keeping the higher one.
-    pub fn take_age(&mut self, pool: &PoolId, order: StoreVersion, age_ms: u64, now_ms: u64) {
+    pub fn merge_age(&mut self, pool: &PoolId, order: StoreVersion, age_ms: u64, now_ms: u64) {
         if let Some(run) = self.runs.get_mut(pool)
             && run.versioned_order.version == order
         {
@@ -234,7 +234,7 @@
 
     /// Merges a record that was written, read or received, if it is newer. Returns
     /// whether it changes the current rollout.
-    pub fn take_record(
+    pub fn merge_record(
         &mut self,
         pool: &PoolId,
         record: RolloutRecord,
@@ -264,7 +264,7 @@
     /// Replaces the known record by the stored one after a conditional write failed,
     /// even if that has a lower version. A missing or invalid record (`None`) changes
     /// only the version to name next. Returns whether the current rollout changes.
-    pub fn found_at_store(
+    pub fn record_stored(
         &mut self,
         pool: &PoolId,
         record: Option<RolloutRecord>,
@@ -334,7 +334,7 @@
 
     /// Records the listed builds of a pool's endpoints. Those of the first list count
     /// as stable.
-    pub fn builds_listed<'a>(
+    pub fn record_listed_builds<'a>(
         &mut self,
         pool: &PoolId,
         builds: impl IntoIterator<Item = &'a BuildVersion>,
@@ -351,7 +351,7 @@
     }
 
     /// The build of each pool, if each has only ever had a single, known build.
-    pub fn usual_builds(&self) -> Option<Vec<(PoolId, BuildVersion)>> {
+    pub fn stable_builds(&self) -> Option<Vec<(PoolId, BuildVersion)>> {
         let pools = self.known_builds.iter();
         let only = pools.map(|(pool, builds)| {
             let build = builds.first().filter(|build| build.is_known())?;
@@ -361,7 +361,7 @@
     }
 
     /// The build uses that a request tries in turn before it is rejected.
-    pub fn uses(&mut self, request: &BuildWish<'_>, now_ms: u64) -> &'static [BuildUse] {
+    pub fn build_uses(&mut self, request: &BuildRequest<'_>, now_ms: u64) -> &'static [BuildUse] {
         let age_ms = self.age_ms(request.pool, now_ms);
         let record = self.record(request.pool).map(|(record, _)| record);
         let stage = record.map(|record| record.stage);
@@ -374,7 +374,7 @@
             Some(RolloutStage::Canary | RolloutStage::Moving)
                 if !has_moved
                     && request.is_first
-                    && run.exposure.takes(request.route, age_ms, request.hosts) =>
+                    && run.exposure.admits(request.route, age_ms, request.hosts) =>
             {
                 &[BuildUse::Canary, BuildUse::Old]
             }
@@ -386,7 +386,7 @@
     }
 
     /// The build use that most requests of a pool try first.
-    pub fn usual_use(&self, pool: &PoolId) -> BuildUse {
+    pub fn stable_use(&self, pool: &PoolId) -> BuildUse {
         if !self.runs.contains_key(pool) {
             return BuildUse::Any;
         }
--- a/crates/routing/src/rollout/stage.rs
+++ b/crates/routing/src/rollout/stage.rs
@@ -123,14 +123,14 @@
     /// milliseconds.
     pub old_idle_ms: u64,
     /// Recent maximum service time of each route, in milliseconds.
-    pub longest_stays_ms: BTreeMap<Arc<str>, u64>,
+    pub max_service_times_ms: BTreeMap<Arc<str>, u64>,
     /// The assessment of the new build.
-    pub judgement: Judgement,
+    pub assessment: BuildAssessment,
 }
 
 /// A transition to a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decision {
+pub struct StageTransition {
     /// The next stage.
     pub stage: RolloutStage,
     /// Why it is entered.
@@ -168,14 +168,14 @@
 
 /// When all traffic moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MoveTimes {
+pub struct MoveSchedule {
     /// Age of the order, in milliseconds, at which a sound build takes all traffic.
     pub wanted_ms: f64,
     /// Age, in milliseconds, from which fewer answers are enough.
     pub last_ms: f64,
 }
 
-impl MoveTimes {
+impl MoveSchedule {
     /// The times for an order's deadline and a maximum service time, in milliseconds.
     ///
     /// # Example
@@ -183,19 +183,19 @@
     /// ```
     /// use chalkrock_routing::MoveSchedule;
     ///
-    /// let times = MoveSchedule::of(12_000, 4_000);
+    /// let times = MoveSchedule::new(12_000, 4_000);
     /// assert_eq!(times.wanted_ms, 6_500.0);
     /// assert_eq!(times.last_ms, 8_500.0);
     /// ```
-    pub fn new(within_ms: u64, longest_stay_ms: u64) -> Self {
+    pub fn new(within_ms: u64, max_service_ms: u64) -> Self {
         let within_ms = within_ms as f64;
-        let longest_ms = longest_stay_ms as f64;
-        let wanted_ms = within_ms - longest_ms - PROPAGATION_MS;
+        let max_service_ms = max_service_ms as f64;
+        let wanted_ms = within_ms - max_service_ms - PROPAGATION_MS;
         let wanted_ms =
             wanted_ms.clamp(MIN_MOVE_FRACTION * within_ms, MAX_MOVE_FRACTION * within_ms);
         Self {
             wanted_ms,
-            last_ms: wanted_ms + MAX_DELAY_FRACTION * longest_ms,
+            last_ms: wanted_ms + MAX_DELAY_FRACTION * max_service_ms,
         }
     }
 }
@@ -203,9 +203,9 @@
 impl RolloutView {
     /// Age of the order at which each route moves, in milliseconds.
     pub fn moves_ms(&self) -> BTreeMap<Arc<str>, u64> {
-        let stays = self.max_service_times_ms.iter();
-        let moves = stays.map(|(route, stay_ms)| {
-            let times = MoveSchedule::new(self.within_ms, *stay_ms);
+        let service_times = self.max_service_times_ms.iter();
+        let moves = service_times.map(|(route, service_ms)| {
+            let times = MoveSchedule::new(self.within_ms, *service_ms);
             (route.clone(), times.wanted_ms as u64)
         });
         moves.collect()
@@ -213,7 +213,7 @@
 }
 
 /// The next stage of a rollout; `None` if it stays in its stage.
-pub fn next_stage(view: &RolloutView) -> Option<Decision> {
+pub fn next_stage(view: &RolloutView) -> Option<StageTransition> {
     match view.stage {
         None if view.is_withdrawn => None,
         None => StageTransition::new(RolloutStage::Canary, RolloutReason::Ordered),
@@ -229,7 +229,7 @@
     }
 }
 
-fn next_after_canary(view: &RolloutView) -> Option<Decision> {
+fn next_after_canary(view: &RolloutView) -> Option<StageTransition> {
     let is_past_deadline = view.age_ms >= view.within_ms;
     if view.new_slots == 0 {
         return roll_back_if(is_past_deadline, RolloutReason::NoEndpoints);
@@ -237,21 +237,21 @@
     if view.old_slots == 0 {
         return StageTransition::new(RolloutStage::Moving, RolloutReason::Moved);
     }
-    let longest_ms = view.max_service_times_ms.values().max();
-    let times = MoveSchedule::new(view.within_ms, longest_ms.copied().unwrap_or_default());
+    let max_service_ms = view.max_service_times_ms.values().max();
+    let times = MoveSchedule::new(view.within_ms, max_service_ms.copied().unwrap_or_default());
     let age_ms = view.age_ms as f64;
-    let answers = view.judgement.answers;
-    let favours_new_build = view.judgement.log_odds < EVEN_LOG_ODDS;
+    let answers = view.assessment.answers;
+    let favours_new_build = view.assessment.log_odds < EVEN_LOG_ODDS;
     let is_sound = answers >= TARGET_ANSWERS && favours_new_build;
     let is_acceptable_late = age_ms >= times.last_ms && answers >= MIN_ANSWERS && favours_new_build;
     if age_ms >= times.wanted_ms && (is_sound || is_acceptable_late) && has_capacity(view) {
-        return Decision::new(RolloutStage::Moving, RolloutReason::Sound);
+        return StageTransition::new(RolloutStage::Moving, RolloutReason::Sound);
     }
     roll_back_if(is_past_deadline, RolloutReason::Undecided)
 }
 
-fn roll_back_if(condition: bool, reason: RolloutReason) -> Option<Decision> {
-    condition.then_some(Decision {
+fn roll_back_if(condition: bool, reason: RolloutReason) -> Option<StageTransition> {
+    condition.then_some(StageTransition {
         stage: RolloutStage::RolledBack,
         reason,
     })
@@ -264,12 +264,12 @@
         || new_slots >= MIN_SLOTS_PER_REQUEST * f64::from(view.in_progress)
 }
 
-fn next_after_moving(view: &RolloutView) -> Option<Decision> {
+fn next_after_moving(view: &RolloutView) -> Option<StageTransition> {
     if view.new_slots == 0 && view.old_slots > 0 {
         return StageTransition::new(RolloutStage::RolledBack, RolloutReason::NoEndpoints);
     }
     if view.old_idle_ms >= MIN_IDLE_MS || view.old_slots == 0 {
-        return Decision::new(RolloutStage::Done, RolloutReason::Moved);
+        return StageTransition::new(RolloutStage::Done, RolloutReason::Moved);
     }
     None
 }
--- a/crates/routing/src/spread.rs
+++ b/crates/routing/src/spread.rs
@@ -19,7 +19,7 @@
     /// Requests that it processes concurrently.
     pub slots: u32,
     /// Whether it is in the host's own availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Whether it is avoided because of late answers.
     pub is_suspect: bool,
     /// Whether it is known to hold the request's prefix.
@@ -78,7 +78,7 @@
     pub key: Option<KeyHash>,
     /// Expected requests of other hosts to the pool that are not in the reported loads
     /// yet; 0 if reports are up to date.
-    pub unseen_arrivals: f64,
+    pub unreported_arrivals: f64,
     /// Random number that breaks ties, so that hosts do not all choose alike.
     pub draw: u64,
 }
@@ -217,7 +217,7 @@
     usable: &[usize],
     request: &PlacementRequest,
 ) -> Option<usize> {
-    if request.unseen_arrivals < MIN_UNREPORTED_ARRIVALS {
+    if request.unreported_arrivals < MIN_UNREPORTED_ARRIVALS {
         return least_loaded(candidates, usable, request.draw);
     }
     let mut targets: Vec<FillTarget> = usable
@@ -226,7 +226,7 @@
         .collect();
     targets.sort_by(|a, b| a.utilisation.total_cmp(&b.utilisation));
     const THIS_REQUEST: f64 = 1.0;
-    let fill_level = fill_level(&targets, request.unseen_arrivals + THIS_REQUEST);
+    let fill_level = fill_level(&targets, request.unreported_arrivals + THIS_REQUEST);
     let headroom = |target: &FillTarget| target.slots * (fill_level - target.utilisation).max(0.0);
     let mut remaining = unit_interval(request.draw) * targets.iter().map(headroom).sum::<f64>();
     let chosen = targets.iter().find(|target| {
@@ -247,7 +247,7 @@
 impl FillTarget {
     fn new(index: usize, candidate: &Candidate) -> Self {
         let slots = f64::from(candidate.slots.max(1));
-        let bonus = if candidate.is_near {
+        let bonus = if candidate.is_same_zone {
             SAME_ZONE_BONUS
         } else {
             0.0
@@ -298,7 +298,7 @@
     };
     usable.iter().copied().min_by(|&a, &b| {
         let by_load = utilisation(a).total_cmp(&utilisation(b));
-        let by_zone = || candidates[b].is_near.cmp(&candidates[a].is_near);
+        let by_zone = || candidates[b].is_same_zone.cmp(&candidates[a].is_same_zone);
         by_load
             .then_with(by_zone)
             .then_with(|| tie_break(b).total_cmp(&tie_break(a)))
--- a/crates/routing/src/subscribers.rs
+++ b/crates/routing/src/subscribers.rs
@@ -34,13 +34,13 @@
     /// The hash of its name.
     pub hash: MemberHash,
     /// Its subscription role.
-    pub reading: SubscriptionRole,
+    pub role: SubscriptionRole,
     /// Its CPU capacity, in thousandths of a core.
     pub capacity_millicores: u16,
 }
 
 /// Relays of a zone; one may fail.
-pub const RELAYS: usize = 2;
+pub const RELAYS_PER_ZONE: usize = 2;
 /// Zone size from which hosts report to relays only. In smaller zones, direct reports
 /// take fewer datagrams.
 const MIN_HOSTS_TO_START_RELAYING: usize = 24;
@@ -65,7 +65,7 @@
 /// assert_eq!(stale_poll_fraction(8), 1.0);
 /// assert_eq!(stale_poll_fraction(250), 0.001);
 /// ```
-pub fn doubting_part(hosts: usize) -> f64 {
+pub fn stale_poll_fraction(hosts: usize) -> f64 {
     if hosts <= MAX_SMALL_FLEET_HOSTS {
         return 1.0;
     }
@@ -73,7 +73,7 @@
 }
 
 /// How many hosts of a fleet subscribe.
-pub fn readers_wanted(hosts: usize) -> usize {
+pub fn subscribers_needed(hosts: usize) -> usize {
     if hosts <= MAX_SMALL_FLEET_HOSTS {
         return hosts.min(MIN_SUBSCRIBERS_SMALL_FLEET);
     }
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneView<'a> {
     /// The other hosts of the zone; of all zones, in a small fleet.
-    pub others: &'a [HeardHost],
+    pub others: &'a [ZonePeer],
     /// Known hosts of all zones.
     pub hosts: usize,
     /// Known zones that share the subscribers; 1 in a small fleet.
@@ -99,13 +99,13 @@
 
     /// Whether a host ranks among the first subscribers, regardless of current roles.
     /// These start while no host subscribes yet.
-    pub fn is_first_choice(&self, local: &HeardHost) -> bool {
-        ranks_among_first(local, self.others.iter(), self.readers_wanted())
+    pub fn is_preferred_subscriber(&self, local: &ZonePeer) -> bool {
+        ranks_among_first(local, self.others.iter(), self.subscribers_needed())
     }
 
     /// Subscribers that the zone needs.
-    fn readers_wanted(&self) -> usize {
-        readers_wanted(self.hosts).div_ceil(self.zones.max(1))
+    fn subscribers_needed(&self) -> usize {
+        subscribers_needed(self.hosts).div_ceil(self.zones.max(1))
     }
 
     /// Whether a host subscribes to the store.
@@ -114,18 +114,18 @@
     ///
     /// ```
     /// use chalkrock_core::rendezvous::MemberHash;
-    /// use chalkrock_routing::{ZonePeer, SubscriptionRole, ZoneView};
+    /// use chalkrock_routing::{SubscriptionRole, ZonePeer, ZoneView};
     ///
-    /// let own = ZonePeer {
+    /// let local = ZonePeer {
     ///     hash: MemberHash::of("host-1"),
-    ///     reading: SubscriptionRole::No,
+    ///     role: SubscriptionRole::No,
     ///     capacity_millicores: 250,
     /// };
     /// let alone = ZoneView { others: &[], hosts: 1, zones: 1 };
-    /// assert!(alone.is_subscriber(&own));
+    /// assert!(alone.is_subscriber(&local));
     /// ```
-    pub fn reads_platform(&self, local: &HeardHost) -> bool {
-        let needed = self.readers_wanted();
+    pub fn is_subscriber(&self, local: &ZonePeer) -> bool {
+        let needed = self.subscribers_needed();
         if needed > self.others.len() {
             return true;
         }
@@ -134,15 +134,15 @@
             others.filter(|host| host.role == SubscriptionRole::Answered)
         };
         let unanswered = self.others.iter();
-        let unanswered = unanswered.filter(|host| host.reading == SubscriptionRole::Unanswered);
+        let unanswered = unanswered.filter(|host| host.role == SubscriptionRole::Unanswered);
         let is_short = answered().count() < needed.div_ceil(2);
         if is_short && !self.is_large() {
             return true;
         }
-        if local.reading == SubscriptionRole::Answered {
+        if local.role == SubscriptionRole::Answered {
             return ranks_among_first(local, answered(), needed);
         }
-        if local.reading == SubscriptionRole::Unanswered && is_short {
+        if local.role == SubscriptionRole::Unanswered && is_short {
             return ranks_among_first(local, unanswered, MAX_UNANSWERED_SUBSCRIBERS);
         }
         // A new host does not replace subscribers of equal capacity: each new
@@ -164,25 +164,25 @@
         let idle = self
             .others
             .iter()
-            .filter(|host| host.reading == SubscriptionRole::No);
+            .filter(|host| host.role == SubscriptionRole::No);
         ranks_among_first(local, idle, vacant)
     }
 
     /// The rank of a host among the relays, which exchange aggregates with other zones;
     /// `None` if it is no relay.
-    pub fn relay_place(&self, local: &HeardHost) -> Option<usize> {
-        let place = self.place(local);
-        (place < RELAYS).then_some(place)
+    pub fn relay_rank(&self, local: &ZonePeer) -> Option<usize> {
+        let rank = self.rank(local);
+        (rank < RELAYS_PER_ZONE).then_some(rank)
     }
 
     /// How many other hosts rank before a host.
-    pub fn place(&self, local: &HeardHost) -> usize {
+    pub fn rank(&self, local: &ZonePeer) -> usize {
         count_ranked_before(local, self.others.iter())
     }
 
     /// Whether the hosts of the zone report to relays only; `was_relayed` is the
     /// current state, for hysteresis.
-    pub fn is_relayed(&self, was_relayed: bool) -> bool {
+    pub fn uses_relays(&self, was_relayed: bool) -> bool {
         let min_hosts = if was_relayed {
             MIN_HOSTS_TO_KEEP_RELAYING
         } else {
@@ -193,24 +193,21 @@
 }
 
 fn ranks_among_first<'a>(
-    local: &HeardHost,
-    others: impl Iterator<Item = &'a HeardHost>,
+    local: &ZonePeer,
+    others: impl Iterator<Item = &'a ZonePeer>,
     needed: usize,
 ) -> bool {
     count_ranked_before(local, others) < needed
 }
 
-fn count_ranked_before<'a>(
-    local: &HeardHost,
-    others: impl Iterator<Item = &'a HeardHost>,
-) -> usize {
+fn count_ranked_before<'a>(local: &ZonePeer, others: impl Iterator<Item = &'a ZonePeer>) -> usize {
     others
         .filter(|host| priority(host) > priority(local))
         .count()
 }
 
 /// Orders hosts by capacity, since subscribers and relays do extra work.
-fn priority(host: &HeardHost) -> (u16, f64) {
+fn priority(host: &ZonePeer) -> (u16, f64) {
     const PRIORITY_KEY: KeyHash = KeyHash(0);
     let tie_break = score(PRIORITY_KEY, host.hash, 1.0);
     (host.capacity_millicores, tie_break)
--- a/crates/routing/src/suspension.rs
+++ b/crates/routing/src/suspension.rs
@@ -14,9 +14,9 @@
 
 /// A suspension of the process or of its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pause {
+pub struct Suspension {
     /// Its duration, in milliseconds.
-    pub length_ms: u64,
+    pub duration_ms: u64,
     /// Time that the steady clock did not count, in milliseconds.
     pub uncounted_ms: u64,
 }
@@ -38,9 +38,9 @@
 ///
 /// let before = ClockReading { steady_ms: 10, boot_ms: 50_000 };
 /// let after = ClockReading { steady_ms: 210, boot_ms: 55_200 };
-/// let pause = detect_suspension(before, after, 200).expect("a suspension");
-/// assert_eq!(pause.length_ms, 5_000);
-/// assert_eq!(pause.uncounted_ms, 5_000);
+/// let suspension = detect_suspension(before, after, 200).expect("a suspension");
+/// assert_eq!(suspension.duration_ms, 5_000);
+/// assert_eq!(suspension.uncounted_ms, 5_000);
 /// ```
 pub fn detect_suspension(
     before: ClockReading,
@@ -52,10 +52,10 @@
     let difference_ms = boot_ms.saturating_sub(steady_ms);
     let is_host_suspended = difference_ms >= MIN_CLOCK_DIFFERENCE_MS;
     let uncounted_ms = if is_host_suspended { difference_ms } else { 0 };
-    let length_ms = (steady_ms + uncounted_ms).saturating_sub(due_ms);
-    let is_process_stopped = length_ms >= MIN_TIMER_DELAY_MS;
-    (is_host_suspended || is_process_stopped).then_some(Pause {
-        length_ms: length_ms.max(uncounted_ms),
+    let duration_ms = (steady_ms + uncounted_ms).saturating_sub(due_ms);
+    let is_process_stopped = duration_ms >= MIN_TIMER_DELAY_MS;
+    (is_host_suspended || is_process_stopped).then_some(Suspension {
+        duration_ms: duration_ms.max(uncounted_ms),
         uncounted_ms,
     })
 }
--- a/crates/routing/src/zone_loads.rs
+++ b/crates/routing/src/zone_loads.rs
@@ -44,7 +44,7 @@
 /// Requests of one zone, or of the whole fleet, added up by a relay; or a chunk of
 /// that.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneSum {
+pub struct ZoneAggregate {
     /// Short hash of the zone summed up, or of the one that receives the fleet's sum.
     pub zone: u32,
     /// Number of hosts included.
@@ -55,14 +55,14 @@
     pub counts: Vec<EndpointCount>,
 }
 
-impl ZoneSum {
+impl ZoneAggregate {
     /// Splits an aggregate into chunks of at most `max_endpoints` endpoints. A lost chunk leaves
     /// the others valid.
     ///
     /// # Panics
     ///
     /// If `max_endpoints` is 0.
-    pub fn split(self, max_endpoints: usize) -> Vec<ZoneSum> {
+    pub fn split(self, max_endpoints: usize) -> Vec<ZoneAggregate> {
         let mut aggregates = Vec::new();
         let mut first = self.range.first;
         let mut chunks = self.counts.chunks(max_endpoints).peekable();
@@ -70,7 +70,7 @@
             let is_last = chunks.peek().is_none();
             let last = chunk.last().map_or(first, |count| count.endpoint);
             let last = if is_last { self.range.last } else { last };
-            aggregates.push(ZoneSum {
+            aggregates.push(ZoneAggregate {
                 range: HashRange { first, last },
                 counts: chunk.to_vec(),
                 ..self
@@ -90,7 +90,7 @@
     hosts: u32,
     counts: BTreeMap<u32, u32>,
     received_at_ms: u64,
-    path: SumPath,
+    path: AggregatePath,
 }
 
 impl RelayAggregate {
@@ -100,7 +100,7 @@
 
     /// Replaces the counts within the chunk's range, and returns the previous ones.
     /// Ignores counts outside of the range.
-    fn replace(&mut self, chunk: &ZoneSum) -> Vec<EndpointCount> {
+    fn replace(&mut self, chunk: &ZoneAggregate) -> Vec<EndpointCount> {
         let replaced = self.counts_within(chunk.range);
         for count in &replaced {
             self.counts.remove(&count.endpoint);
@@ -147,8 +147,8 @@
     pub(crate) fn merge(
         &mut self,
         relay: H,
-        chunk: &ZoneSum,
-        path: SumPath,
+        chunk: &ZoneAggregate,
+        path: AggregatePath,
         now_ms: u64,
         totals: &mut InFlightCounters,
     ) {
@@ -201,11 +201,11 @@
     }
 
     /// The best aggregate that came from the zone itself, to pass on.
-    pub(crate) fn best_direct(&self, zone: u32, now_ms: u64) -> Option<ZoneSum> {
+    pub(crate) fn best_direct(&self, zone: u32, now_ms: u64) -> Option<ZoneAggregate> {
         let is_eligible =
-            |known: &RelayAggregate| known.path == SumPath::Direct && known.is_recent(now_ms);
+            |known: &RelayAggregate| known.path == AggregatePath::Direct && known.is_recent(now_ms);
         let (_, known) = best(&self.relays, is_eligible)?;
-        Some(ZoneSum {
+        Some(ZoneAggregate {
             zone,
             hosts: known.hosts,
             range: HashRange::ALL,
