--- a/crates/routing/src/fleet_load.rs
+++ b/crates/routing/src/fleet_load.rs
@@ -4,8 +4,7 @@
 //! one and expires after [`REPORT_AGE_MAX_MS`](crate::REPORT_AGE_MAX_MS). In a large
 //! fleet, other zones send aggregates, each through several relays of which one is used.
 //! In a large zone, hosts receive only the relays' aggregates of the whole fleet.
-//! Counts are kept by endpoint incarnation, also after the endpoint is no longer
-//! listed.
+//! Counts are kept by endpoint incarnation, even if the endpoint is no longer listed.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -61,8 +60,7 @@
     hosts: HashMap<H, KnownReport>,
     /// Aggregates of remote zones.
     zones: HashMap<u32, ZoneLoads<H>>,
-    /// Sum of all valid counts, updated incrementally: adding up all reports each
-    /// time is too slow in a large fleet.
+    /// Sum of all valid counts, updated incrementally for speed in a large fleet.
     others: InFlightCounters,
     /// Aggregates of the whole fleet, from relays of the same zone.
     totals: FleetTotals<H>,
@@ -114,8 +112,7 @@
         }
     }
 
-    /// Mean age of the other hosts' counts, in milliseconds: half of the report
-    /// interval for each hop.
+    /// Mean age of the other hosts' counts: half of the report interval for each hop.
     pub fn report_age_ms(&self) -> f64 {
         const RELAYED_HOPS: f64 = 3.0;
         let hops = if self.uses_fleet_aggregate || !self.zones.is_empty() {
@@ -154,8 +151,7 @@
     }
 
     /// Merges a report if it is the newest of its host. An earlier incarnation is
-    /// accepted once the known one has expired: incarnations are times of day, and a
-    /// clock may step back.
+    /// accepted once the known one has expired, since a clock may step back.
     pub fn merge(&mut self, host: H, report: HostReport, now_ms: u64) -> MergeOutcome {
         let of = |report: &HostReport| (report.incarnation, report.sequence);
         if let Some(known) = self.hosts.get(&host)
@@ -202,9 +198,8 @@
         self.select_source();
     }
 
-    /// The aggregate of the whole fleet for the hosts of this zone. It leaves out other
-    /// relays' aggregates of the fleet, which would otherwise keep each other from
-    /// expiring.
+    /// The aggregate of the whole fleet for the hosts of this zone. Excludes those of
+    /// other relays, since relays would keep each other's from expiring.
     pub fn fleet_aggregate(&self, zone: u32) -> ZoneAggregate {
         let mut totals = self.local_in_progress.clone();
         totals.add(&self.others.counts());
--- a/crates/routing/src/fleet_totals.rs
+++ b/crates/routing/src/fleet_totals.rs
@@ -1,7 +1,7 @@
 //! The whole fleet's requests, as aggregated by relays of the same zone.
 //!
-//! An aggregate includes an earlier report of the host that receives it, and names that
-//! report. The host subtracts it and adds its current counts.
+//! An aggregate names the report of the receiving host that it includes. The host
+//! subtracts that report and adds its current counts.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -111,8 +111,7 @@
             .saturating_sub(self.local_in_aggregate.total())
     }
 
-    /// Finds the local report that the selected aggregate includes. An unknown one is from an
-    /// earlier incarnation, whose requests are not this host's.
+    /// Finds the local report in the selected aggregate, if it is of this incarnation.
     fn find_local_report(&mut self) {
         let included = self.relays.selected();
         let included = included.and_then(|relay| self.includes.get(relay));
--- a/crates/routing/src/rollout/evidence.rs
+++ b/crates/routing/src/rollout/evidence.rs
@@ -41,8 +41,7 @@
     }
 }
 
-/// An event of an answer. The first byte is an event of its own, since slow answers
-/// take long to complete.
+/// An event of an answer; the first byte is separate, since slow answers end late.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ObservedResponse {
     /// The first byte arrived.
@@ -272,8 +271,7 @@
         total
     }
 
-    /// The tally of the whole fleet. A zone's relays cover the same hosts, so that only
-    /// the tally with most answers is used.
+    /// The tally of the whole fleet, with the largest of each remote zone's relays.
     pub fn combined_tally(&self) -> Tally {
         let mut total = self.zone_tally();
         let mut zones: HashMap<u32, &Tally> = HashMap::new();
--- a/crates/routing/src/rollout/mod.rs
+++ b/crates/routing/src/rollout/mod.rs
@@ -4,12 +4,11 @@
 //! A small share of the requests goes to a few of them first ([`Exposure`]), at the
 //! load of the old endpoints, since the new build may fail or be slow. Hosts tally the
 //! answers of both builds over the same time ([`Tally`]), and a sequential test detects
-//! a worse build ([`BuildAssessment`]). All traffic moves as late as the requests on the old
-//! endpoints allow, and the rollout ends once none is left there ([`next_stage`]).
+//! a worse build ([`BuildAssessment`]). All traffic moves as late as the requests on the
+//! old endpoints allow, and the rollout ends once none is left there ([`next_stage`]).
 //!
-//! The current stage is a record in the store, written conditionally, so that hosts
-//! need no other coordination. A host without a record sends no requests to the new
-//! build.
+//! The current stage is a record in the store, written conditionally; hosts need no
+//! other coordination. A host without a record sends no requests to the new build.
 
 mod assessment;
 mod evidence;
--- a/crates/routing/src/rollout/order.rs
+++ b/crates/routing/src/rollout/order.rs
@@ -34,8 +34,7 @@
     pub(super) order: RolloutOrder,
 }
 
-/// All orders as of a store version. The later version replaces an earlier one as a
-/// whole, in whatever order they arrive.
+/// All orders as of a store version; a later version replaces an earlier one as a whole.
 ///
 /// # Example
 ///
@@ -43,9 +42,8 @@
 /// use chalkrock_routing::{RolloutOrder, RolloutOrderRow, RolloutOrders, StoreVersion};
 ///
 /// let row = |version, order| RolloutOrderRow { version, pool: "chat".into(), order };
-/// let order = RolloutOrder { build: "v2".into(), within_ms: 12_000 };
-/// let ordered = [row(StoreVersion(5), Some(order))];
-/// let mut known = RolloutOrders::from_snapshot(StoreVersion(7), ordered);
+/// let order = Some(RolloutOrder { build: "v2".into(), within_ms: 12_000 });
+/// let mut known = RolloutOrders::from_snapshot(StoreVersion(7), [row(StoreVersion(5), order)]);
 /// let withdrawn = RolloutOrders::from_snapshot(StoreVersion(9), []);
 /// assert!(known.merge(&withdrawn));
 /// assert_eq!(known.get(&"chat".into()), None);
@@ -72,8 +70,7 @@
         orders
     }
 
-    /// Replaces the orders by those of a later version. Returns whether any order
-    /// changed.
+    /// Merges orders if their version is later. Returns whether any order changed.
     pub fn merge(&mut self, other: &RolloutOrders) -> bool {
         if other.version <= self.version {
             return false;
@@ -83,9 +80,8 @@
         has_changed
     }
 
-    /// Replaces the orders after a full read. A later era means that the store was
-    /// restored from a backup that may lack recent writes: known orders of pools
-    /// without a row stay.
+    /// Replaces the orders after a full read. In a later era, the store was restored from
+    /// a backup that may lack recent writes: known orders of pools without a row stay.
     pub fn replace(&mut self, mut other: RolloutOrders) -> bool {
         if other.version.era() > self.version.era() {
             for (pool, versioned_order) in &self.by_pool {
--- a/crates/routing/src/suspension.rs
+++ b/crates/routing/src/suspension.rs
@@ -21,11 +21,9 @@
     pub uncounted_ms: u64,
 }
 
-/// Minimum difference of the clocks that counts as a suspension. The process may be
-/// preempted between reading one and the other.
+/// Exceeds the time for which a process may be preempted between the two readings.
 const MIN_CLOCK_DIFFERENCE_MS: u64 = 300;
-/// Minimum delay of a timer that counts as a suspension, above the delays of an
-/// overloaded host.
+/// Exceeds the timer delays of an overloaded host.
 const MIN_TIMER_DELAY_MS: u64 = 1_000;
 
 /// Detects a suspension between two readings; without one, `after` is read at most
