--- a/crates/routing/src/fleet_totals.rs
+++ b/crates/routing/src/fleet_totals.rs
@@ -39,11 +39,9 @@
 pub(crate) struct FleetTotals<H> {
     relays: ZoneLoads<H>,
     aggregate: InFlightCounters,
-    /// Which local report each relay's aggregate includes.
-    includes: HashMap<H, ReportId>,
+    included_reports: HashMap<H, ReportId>,
     /// Recent local reports, oldest first.
     reports: VecDeque<HostReport>,
-    /// This host's requests in the selected aggregate.
     local_in_aggregate: InFlightCounters,
 }
 
@@ -52,7 +50,7 @@
         Self {
             relays: ZoneLoads::default(),
             aggregate: InFlightCounters::default(),
-            includes: HashMap::new(),
+            included_reports: HashMap::new(),
             reports: VecDeque::new(),
             local_in_aggregate: InFlightCounters::default(),
         }
@@ -75,8 +73,8 @@
         now_ms: u64,
     ) {
         match includes {
-            Some(includes) => self.includes.insert(relay.clone(), includes),
-            None => self.includes.remove(&relay),
+            Some(includes) => self.included_reports.insert(relay.clone(), includes),
+            None => self.included_reports.remove(&relay),
         };
         self.relays.merge(
             relay,
@@ -92,7 +90,8 @@
         self.relays.expire(now_ms, &mut self.aggregate);
         self.relays.select_best(&mut self.aggregate);
         let relays = &self.relays;
-        self.includes.retain(|relay, _| relays.contains(relay));
+        self.included_reports
+            .retain(|relay, _| relays.contains(relay));
         self.find_local_report();
     }
 
@@ -114,7 +113,7 @@
     /// Finds the local report in the selected aggregate, if it is of this incarnation.
     fn find_local_report(&mut self) {
         let included = self.relays.selected();
-        let included = included.and_then(|relay| self.includes.get(relay));
+        let included = included.and_then(|relay| self.included_reports.get(relay));
         let report = included.and_then(|included| {
             let mut reports = self.reports.iter();
             reports.find(|report| ReportId::of(report) == *included)
