--- a/crates/routing/src/fleet_load.rs
+++ b/crates/routing/src/fleet_load.rs
@@ -1,7 +1,7 @@
 //! Requests in progress on each endpoint, over the whole fleet.
 //!
 //! Each host reports its counts a few times a second; a report replaces the previous
-//! one and expires after [`REPORT_AGE_MAX_MS`](crate::REPORT_AGE_MAX_MS). In a large
+//! one and expires after [`MAX_REPORT_AGE_MS`](crate::MAX_REPORT_AGE_MS). In a large
 //! fleet, other zones send aggregates, each through several relays of which one is used.
 //! In a large zone, hosts receive only the relays' aggregates of the whole fleet.
 //! Counts are kept by endpoint incarnation, even if the endpoint is no longer listed.
--- a/crates/routing/src/in_flight.rs
+++ b/crates/routing/src/in_flight.rs
@@ -9,11 +9,11 @@
 
 /// Age, in milliseconds, from which a report no longer counts: its host is gone or
 /// unreachable.
-pub const REPORT_AGE_MAX_MS: u64 = 1_500;
+pub const MAX_REPORT_AGE_MS: u64 = 1_500;
 
 /// Whether a report received at a time still counts.
 pub(crate) fn is_recent(received_at_ms: u64, now_ms: u64) -> bool {
-    now_ms.saturating_sub(received_at_ms) <= REPORT_AGE_MAX_MS
+    now_ms.saturating_sub(received_at_ms) <= MAX_REPORT_AGE_MS
 }
 
 /// Requests in progress on one endpoint.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -83,7 +83,7 @@
 pub use fleet_load::{FleetLoad, HostReport, MergeOutcome};
 pub use fleet_totals::ReportId;
 pub use health::{EndpointHealth, HealthSignal};
-pub use in_flight::{EndpointCount, REPORT_AGE_MAX_MS, REPORT_INTERVAL_MS};
+pub use in_flight::{EndpointCount, MAX_REPORT_AGE_MS, REPORT_INTERVAL_MS};
 pub use poison::{
     LONG_RUN_MS, MAX_CRASHES, POISON_RETENTION_MS, PoisonEvidence, PoisonRequest, PoisonUpdate,
     PoisonVerdict,
--- a/crates/routing/src/subscription_timings.rs
+++ b/crates/routing/src/subscription_timings.rs
@@ -70,12 +70,12 @@
     /// Parallel calls before all of them are abandoned.
     pub const MAX_HEDGES: u32 = 3;
     /// Minimum bound; below it, calls to a working store would time out.
-    pub const BOUND_MIN_MS: u64 = 1_500;
+    pub const MIN_BOUND_MS: u64 = 1_500;
 
-    /// The timing for a bound, which is raised to [`BOUND_MIN_MS`](Self::BOUND_MIN_MS)
+    /// The timing for a bound, which is raised to [`MIN_BOUND_MS`](Self::MIN_BOUND_MS)
     /// if it is lower.
     pub fn for_bound(bound_ms: u64) -> Self {
-        let bound_ms = bound_ms.max(Self::BOUND_MIN_MS);
+        let bound_ms = bound_ms.max(Self::MIN_BOUND_MS);
         let scaled = |fraction: f64| (fraction * bound_ms as f64) as u64;
         Self {
             bound_ms,
--- a/crates/routing/tests/fleet_load.rs
+++ b/crates/routing/tests/fleet_load.rs
@@ -1,8 +1,8 @@
 //! Loads that hosts tell each other: late, twice, out of order, or not at all.
 
 use chalkrock_routing::{
-    AggregatePath, EndpointCount, FleetLoad, HashRange, HostReport, MergeOutcome,
-    REPORT_AGE_MAX_MS, ReportId, ZoneAggregate,
+    AggregatePath, EndpointCount, FleetLoad, HashRange, HostReport, MAX_REPORT_AGE_MS,
+    MergeOutcome, ReportId, ZoneAggregate,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -65,7 +65,7 @@
         load.merge("b", report(8, 1, 2), 100),
         eq(MergeOutcome::Stale)
     );
-    let later_ms = REPORT_AGE_MAX_MS + 1;
+    let later_ms = MAX_REPORT_AGE_MS + 1;
     assert_that!(
         load.merge("b", report(8, 9, 2), later_ms),
         eq(MergeOutcome::Applied)
@@ -77,11 +77,11 @@
 fn load_drops_a_silent_host() {
     let mut load = FleetLoad::default();
     load.merge("b", report(1, 1, 9), 0);
-    load.expire(REPORT_AGE_MAX_MS);
+    load.expire(MAX_REPORT_AGE_MS);
     assert_that!(load.in_progress(ENDPOINT), eq(9));
-    load.expire(REPORT_AGE_MAX_MS + 1);
+    load.expire(MAX_REPORT_AGE_MS + 1);
     assert_that!(load.in_progress(ENDPOINT), eq(0));
-    assert_that!(load.recent_host_count(REPORT_AGE_MAX_MS + 1), eq(0));
+    assert_that!(load.recent_host_count(MAX_REPORT_AGE_MS + 1), eq(0));
 }
 
 #[test]
@@ -154,7 +154,7 @@
         "relay-2",
         zone_aggregate(1, 3, 7),
         AggregatePath::Direct,
-        REPORT_AGE_MAX_MS + 1,
+        MAX_REPORT_AGE_MS + 1,
     );
     assert_that!(load.in_progress(ENDPOINT), eq(7));
 }
@@ -170,7 +170,7 @@
         load.remote_zone_aggregates(0),
         eq(&[zone_aggregate(2, 9, 50)])
     );
-    let later_ms = REPORT_AGE_MAX_MS + 1;
+    let later_ms = MAX_REPORT_AGE_MS + 1;
     assert_that!(
         load.zone_aggregate(1, later_ms),
         eq(&zone_aggregate(1, 1, 1))
@@ -242,7 +242,7 @@
     for part in wide_sum(300, 20).split(128) {
         load.merge_zone_aggregate("relay", part, AggregatePath::Direct, 0);
     }
-    let later_ms = REPORT_AGE_MAX_MS + 1;
+    let later_ms = MAX_REPORT_AGE_MS + 1;
     let first = wide_sum(300, 20).split(128).swap_remove(0);
     load.merge_zone_aggregate("relay", first, AggregatePath::Direct, later_ms);
     assert_that!(load.in_progress(1_000), eq(1));
@@ -298,7 +298,7 @@
     load.merge_fleet_aggregate("relay", &zone_aggregate(1, 4, 20), None, 0);
     assert_that!(load.in_progress(ENDPOINT), eq(20));
     // Relays that fall silent leave what is heard directly.
-    let later_ms = REPORT_AGE_MAX_MS + 1;
+    let later_ms = MAX_REPORT_AGE_MS + 1;
     load.merge("near-1", report(1, 2, 3), later_ms);
     load.expire(later_ms);
     assert_that!(load.in_progress(ENDPOINT), eq(3));
@@ -378,7 +378,7 @@
             load.merge_zone_aggregate(relay, part, AggregatePath::Direct, now_ms);
             load.merge(relay, report(1, now_ms, in_progress), now_ms);
         }
-        now_ms += REPORT_AGE_MAX_MS + 1;
+        now_ms += MAX_REPORT_AGE_MS + 1;
         load.expire(now_ms);
         prop_assert_eq!(load.total(), 0);
         load.merge_zone_aggregate(0, zone_aggregate(0, 1, last), AggregatePath::Direct, now_ms);
