--- a/crates/measure/src/rollouts.rs
+++ b/crates/measure/src/rollouts.rs
@@ -294,7 +294,7 @@
         let stays_ms = self.pool.max_service_times_ms();
         let of_route = |route: &Arc<str>| {
             let stay_ms = stays_ms.get(route).copied().unwrap_or_default();
-            MoveSchedule::new(self.pool.within_ms, stay_ms).wanted_ms as u64
+            MoveSchedule::new(self.pool.within_ms, stay_ms).target_ms as u64
         };
         self.names.iter().map(of_route).collect()
     }
@@ -469,7 +469,7 @@
                         .max()
                         .unwrap_or_default(),
                 );
-                let is_over = now_ms as f64 >= moves.last_ms;
+                let is_over = now_ms as f64 >= moves.latest_ms;
                 let stage = if is_bad {
                     RolloutStage::RolledBack
                 } else if is_over {
--- a/crates/routing/src/rollout/stage.rs
+++ b/crates/routing/src/rollout/stage.rs
@@ -170,9 +170,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveSchedule {
     /// Age of the order, in milliseconds, at which a sound build takes all traffic.
-    pub wanted_ms: f64,
+    pub target_ms: f64,
     /// Age, in milliseconds, from which fewer answers are enough.
-    pub last_ms: f64,
+    pub latest_ms: f64,
 }
 
 impl MoveSchedule {
@@ -184,18 +184,18 @@
     /// use chalkrock_routing::MoveSchedule;
     ///
     /// let times = MoveSchedule::new(12_000, 4_000);
-    /// assert_eq!(times.wanted_ms, 6_500.0);
-    /// assert_eq!(times.last_ms, 8_500.0);
+    /// assert_eq!(times.target_ms, 6_500.0);
+    /// assert_eq!(times.latest_ms, 8_500.0);
     /// ```
     pub fn new(within_ms: u64, max_service_ms: u64) -> Self {
         let within_ms = within_ms as f64;
         let max_service_ms = max_service_ms as f64;
-        let wanted_ms = within_ms - max_service_ms - PROPAGATION_MS;
-        let wanted_ms =
-            wanted_ms.clamp(MIN_MOVE_FRACTION * within_ms, MAX_MOVE_FRACTION * within_ms);
+        let target_ms = within_ms - max_service_ms - PROPAGATION_MS;
+        let target_ms =
+            target_ms.clamp(MIN_MOVE_FRACTION * within_ms, MAX_MOVE_FRACTION * within_ms);
         Self {
-            wanted_ms,
-            last_ms: wanted_ms + MAX_DELAY_FRACTION * max_service_ms,
+            target_ms,
+            latest_ms: target_ms + MAX_DELAY_FRACTION * max_service_ms,
         }
     }
 }
@@ -206,7 +206,7 @@
         let service_times = self.max_service_times_ms.iter();
         let moves = service_times.map(|(route, service_ms)| {
             let times = MoveSchedule::new(self.within_ms, *service_ms);
-            (route.clone(), times.wanted_ms as u64)
+            (route.clone(), times.target_ms as u64)
         });
         moves.collect()
     }
@@ -243,8 +243,9 @@
     let answers = view.assessment.answers;
     let favours_new_build = view.assessment.log_odds < EVEN_LOG_ODDS;
     let is_sound = answers >= TARGET_ANSWERS && favours_new_build;
-    let is_acceptable_late = age_ms >= times.last_ms && answers >= MIN_ANSWERS && favours_new_build;
-    if age_ms >= times.wanted_ms && (is_sound || is_acceptable_late) && has_capacity(view) {
+    let is_acceptable_late =
+        age_ms >= times.latest_ms && answers >= MIN_ANSWERS && favours_new_build;
+    if age_ms >= times.target_ms && (is_sound || is_acceptable_late) && has_capacity(view) {
         return StageTransition::new(RolloutStage::Moving, RolloutReason::Sound);
     }
     roll_back_if(is_past_deadline, RolloutReason::Undecided)
