--- a/crates/routing/src/fleet_totals.rs
+++ b/crates/routing/src/fleet_totals.rs
@@ -40,8 +40,7 @@
     relays: ZoneLoads<H>,
     aggregate: InFlightCounters,
     included_reports: HashMap<H, ReportId>,
-    /// Recent local reports, oldest first.
-    reports: VecDeque<HostReport>,
+    local_reports: VecDeque<HostReport>,
     local_in_aggregate: InFlightCounters,
 }
 
@@ -51,7 +50,7 @@
             relays: ZoneLoads::default(),
             aggregate: InFlightCounters::default(),
             included_reports: HashMap::new(),
-            reports: VecDeque::new(),
+            local_reports: VecDeque::new(),
             local_in_aggregate: InFlightCounters::default(),
         }
     }
@@ -59,10 +58,10 @@
 
 impl<H: Clone + Eq + Hash + Ord> FleetTotals<H> {
     pub(crate) fn remember(&mut self, report: &HostReport) {
-        if self.reports.len() >= MAX_REMEMBERED_REPORTS {
-            self.reports.pop_front();
+        if self.local_reports.len() >= MAX_REMEMBERED_REPORTS {
+            self.local_reports.pop_front();
         }
-        self.reports.push_back(report.clone());
+        self.local_reports.push_back(report.clone());
     }
 
     pub(crate) fn merge(
@@ -115,7 +114,7 @@
         let included = self.relays.selected();
         let included = included.and_then(|relay| self.included_reports.get(relay));
         let report = included.and_then(|included| {
-            let mut reports = self.reports.iter();
+            let mut reports = self.local_reports.iter();
             reports.find(|report| ReportId::of(report) == *included)
         });
         self.local_in_aggregate = InFlightCounters::default();
--- a/crates/routing/src/rollout/stage.rs
+++ b/crates/routing/src/rollout/stage.rs
@@ -241,10 +241,9 @@
     let times = MoveSchedule::new(view.within_ms, max_service_ms.copied().unwrap_or_default());
     let age_ms = view.age_ms as f64;
     let answers = view.assessment.answers;
-    let favours_new_build = view.assessment.log_odds < EVEN_LOG_ODDS;
-    let is_sound = answers >= TARGET_ANSWERS && favours_new_build;
-    let is_acceptable_late =
-        age_ms >= times.latest_ms && answers >= MIN_ANSWERS && favours_new_build;
+    let favours_new = view.assessment.log_odds < EVEN_LOG_ODDS;
+    let is_sound = answers >= TARGET_ANSWERS && favours_new;
+    let is_acceptable_late = age_ms >= times.latest_ms && answers >= MIN_ANSWERS && favours_new;
     if age_ms >= times.target_ms && (is_sound || is_acceptable_late) && has_capacity(view) {
         return StageTransition::new(RolloutStage::Moving, RolloutReason::Sound);
     }
