--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,143 +1,138 @@
-//! Whether a request is taken in while its pool is overloaded.
+//! Admission control for an overloaded pool.
 //!
-//! Endpoints queue what they have no place for, and a queue that is longer
-//! than callers wait is worse than none: each request in it is late or given
-//! up, and places are spent on it all the same. So the wait that a newcomer
-//! has to expect is estimated and held against its objective. Where it is too
-//! long, the request is refused at once, and told when to come back.
+//! Endpoints queue requests beyond their slots. A request that queues longer than its
+//! caller waits is late or abandoned, and still takes up a slot. So the wait that a
+//! new request has to expect is compared with its objective, and a request that would
+//! wait too long is rejected at once.
 //!
-//! The estimate needs no word of the endpoints. By Little's law, what is in
-//! progress on a pool, over the time that each request stays there, is the
-//! rate at which the pool serves; a newcomer waits until the pool has served
-//! all that is in progress beyond its places. Tried before: to take in while
-//! more than an endpoint's places are filled by a fixed part. Places of short
-//! calls turn over ten times within their objective and may well queue, those
-//! of long streams may not; one part fits only one of them.
+//! By Little's law, requests in progress divided by the mean service time give the
+//! pool's throughput; a new request waits until the pool has served the excess over its
+//! slots. A fixed limit on the excess does not work: short calls can queue many times
+//! within their objective, long streams can't.
 //!
-//! Urgent requests bear a longer wait than others before they are refused, so
-//! that the least urgent go first; but none falls below a part of what the
-//! most urgent get, so that no kind starves.
-
-/// Rank of the least urgent request; ranks beyond it are like it.
-const RANK_LAST: u8 = 2;
-/// Parts of the objective that the expected wait may take, by rank: up to the
-/// first every request is taken in, from the second on only the floor is.
-const WAIT_THRESHOLDS: [(f64, f64); 3] = [(0.40, 0.90), (0.30, 0.75), (0.25, 0.60)];
-/// The least chance, as a part of the chance of the most urgent.
-const FLOOR: f64 = 0.4;
-/// Weight of a new stay in the mean.
-const STAY_STEP: f64 = 0.05;
-
-/// The mean time that requests stay on a pool's endpoints.
+//! More urgent requests accept a longer wait, and every rank gets at least a fraction
+//! of the chance of the most urgent, so that none starves.
+
+/// Rank of the least urgent requests; larger ranks count as this one.
+const MAX_RANK: u8 = 2;
+/// By rank, the expected wait as a fraction of the objective up to which all requests
+/// are admitted, and from which only the minimum is.
+const WAIT_RATIO_THRESHOLDS: [(f64, f64); 3] = [(0.40, 0.90), (0.30, 0.75), (0.25, 0.60)];
+/// Minimum chance of admission, relative to that of the most urgent rank.
+const MIN_ADMIT_RATIO: f64 = 0.4;
+/// Weight of a new sample in the mean.
+const SAMPLE_WEIGHT: f64 = 0.05;
+
+/// Exponentially weighted mean of the service time on a pool's endpoints.
 ///
 /// # Example
 ///
 /// ```
 /// use chalkrock_routing::ServiceTimeEwma;
 ///
-/// let mut stay = ServiceTimeEwma::default();
-/// stay.record(200);
-/// assert_eq!(stay.ms(), 200.0);
+/// let mut service_time = ServiceTimeEwma::default();
+/// service_time.record(200);
+/// assert_eq!(service_time.ms(), 200.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceTimeEwma(Option<f64>);
 
 impl ServiceTimeEwma {
-    /// A request left after so long.
+    /// Adds the service time of a completed request.
     pub fn record(&mut self, stayed_ms: u64) {
         let stayed_ms = stayed_ms as f64;
         let mean = self.0.get_or_insert(stayed_ms);
-        *mean += STAY_STEP * (stayed_ms - *mean);
+        *mean += SAMPLE_WEIGHT * (stayed_ms - *mean);
     }
 
-    /// The mean in milliseconds, 0 while none has left.
+    /// Mean in milliseconds, 0 before the first sample.
     pub fn ms(&self) -> f64 {
         self.0.unwrap_or(0.0)
     }
 }
 
-/// The longest stay of late, in two spans of which the older one is dropped in turn.
+/// The longest recent service time, over the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LongestStay {
-    /// The number of the span that goes on.
-    span: u64,
-    now_ms: u64,
-    before_ms: u64,
+    /// Index of the current window.
+    window: u64,
+    current_ms: u64,
+    previous_ms: u64,
 }
 
-/// How long a span of [`LongestStay`] is.
-const SPAN_MS: u64 = 30_000;
+/// Length of one window.
+const WINDOW_MS: u64 = 30_000;
 
 impl LongestStay {
-    /// A request stayed so long.
+    /// Adds the service time of a request.
     pub fn record(&mut self, stayed_ms: u64, now_ms: u64) {
-        self.turn(now_ms);
-        self.now_ms = self.now_ms.max(stayed_ms);
+        self.advance(now_ms);
+        self.current_ms = self.current_ms.max(stayed_ms);
     }
 
-    /// The longest stay in the last 30 to 60 s, in milliseconds.
+    /// Longest service time of the last 30 to 60 s, in milliseconds.
     pub fn ms(mut self, now_ms: u64) -> u64 {
-        self.turn(now_ms);
-        self.now_ms.max(self.before_ms)
+        self.advance(now_ms);
+        self.current_ms.max(self.previous_ms)
     }
 
-    fn turn(&mut self, now_ms: u64) {
-        let span = now_ms / SPAN_MS;
-        if span > self.span {
-            self.before_ms = if span == self.span + 1 {
-                self.now_ms
+    fn advance(&mut self, now_ms: u64) {
+        let window = now_ms / WINDOW_MS;
+        if window > self.window {
+            self.previous_ms = if window == self.window + 1 {
+                self.current_ms
             } else {
                 0
             };
-            self.now_ms = 0;
-            self.span = span;
+            self.current_ms = 0;
+            self.window = window;
         }
     }
 }
 
-/// How full a pool is.
+/// Slots and load of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolOccupancy {
-    /// Requests that the endpoints which take work can work on at once.
+    /// Requests that the endpoints accepting work can process at once.
     pub places: u32,
     /// Requests in progress on them, over the fleet.
     pub in_progress: u32,
-    /// How long requests stay, in the mean.
+    /// Mean service time, in milliseconds.
     pub service_ms: f64,
 }
 
 impl PoolOccupancy {
-    /// How long a newcomer has to wait for a place.
+    /// Expected wait of a new request for a slot, in milliseconds.
     pub fn wait_ms(&self) -> f64 {
         if self.in_progress <= self.places {
             return 0.0;
         }
-        let served_first = f64::from(self.in_progress - self.places);
-        self.service_ms * served_first / f64::from(self.in_progress)
+        let excess = f64::from(self.in_progress - self.places);
+        self.service_ms * excess / f64::from(self.in_progress)
     }
 }
 
-/// Who asks to be taken in.
+/// A request that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// Its rank, 0 the most urgent.
+    /// Priority, 0 the most urgent.
     pub rank: u8,
-    /// The time in which an answer is wanted.
+    /// Time within which the caller expects an answer.
     pub objective_ms: u64,
-    /// Whether its organisation has more than its share in progress.
+    /// Whether its organisation exceeds its share of the requests in progress.
     pub is_over_share: bool,
 }
 
-/// The chance with which a newcomer is taken in, 0 to 1.
+/// Probability, 0 to 1, with which a request is admitted.
 pub fn admit_probability(occupancy: &PoolOccupancy, request: &AdmissionRequest) -> f64 {
-    let waits = occupancy.wait_ms() / request.objective_ms.max(1) as f64;
-    let behind = u8::from(request.is_over_share);
-    let rank = request.rank.saturating_add(behind).min(RANK_LAST);
-    let floor = FLOOR * probability_of_rank(waits, 0);
-    probability_of_rank(waits, rank).max(floor)
+    let wait_ratio = occupancy.wait_ms() / request.objective_ms.max(1) as f64;
+    let penalty = u8::from(request.is_over_share);
+    let rank = request.rank.saturating_add(penalty).min(MAX_RANK);
+    let floor = MIN_ADMIT_RATIO * probability_for_rank(wait_ratio, 0);
+    probability_for_rank(wait_ratio, rank).max(floor)
 }
 
-/// Whether a newcomer is taken in; `draw` is from 0 up to 1.
+/// Whether a request is admitted; `draw` is from 0 up to 1.
 ///
 /// # Example
 ///
@@ -154,9 +149,8 @@
     draw < admit_probability(occupancy, request)
 }
 
-/// The chance with which a host that is behind its own work by so long refuses
-/// a request. It still takes a tenth, so that a fleet which is behind as a
-/// whole serves what it can.
+/// Probability with which a host whose scheduler lags by `lag_ms` rejects a request.
+/// Always below 1, so that a fleet that lags as a whole still serves what it can.
 ///
 /// # Example
 ///
@@ -167,14 +161,14 @@
 /// assert_eq!(shed_probability(5_000), 0.9);
 /// ```
 pub fn shed_probability(lag_ms: u64) -> f64 {
-    const NONE_UP_TO_MS: f64 = 250.0;
-    const MOST_FROM_MS: f64 = 1_000.0;
-    const MOST: f64 = 0.9;
-    let part = (lag_ms as f64 - NONE_UP_TO_MS) / (MOST_FROM_MS - NONE_UP_TO_MS);
-    MOST * part.clamp(0.0, 1.0)
+    const MIN_LAG_MS: f64 = 250.0;
+    const MAX_LAG_MS: f64 = 1_000.0;
+    const MAX_PROBABILITY: f64 = 0.9;
+    let fraction = (lag_ms as f64 - MIN_LAG_MS) / (MAX_LAG_MS - MIN_LAG_MS);
+    MAX_PROBABILITY * fraction.clamp(0.0, 1.0)
 }
 
-fn probability_of_rank(waits: f64, rank: u8) -> f64 {
-    let (all_up_to, none_from) = WAIT_THRESHOLDS[usize::from(rank.min(RANK_LAST))];
-    ((none_from - waits) / (none_from - all_up_to)).clamp(0.0, 1.0)
+fn probability_for_rank(wait_ratio: f64, rank: u8) -> f64 {
+    let (admit_all_until, admit_min_from) = WAIT_RATIO_THRESHOLDS[usize::from(rank.min(MAX_RANK))];
+    ((admit_min_from - wait_ratio) / (admit_min_from - admit_all_until)).clamp(0.0, 1.0)
 }
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,42 +1,41 @@
-//! What the end of an attempt proves, and what it allows next.
+//! Classifies how an attempt at an endpoint ended and decides the next step.
 //!
-//! Every ending of every kind of request is sorted here, in one place. Not run
-//! is a promise to the caller: it is said only if no byte of the request was
-//! written, or the endpoint itself said so.
+//! `Outcome::NotRun` is a guarantee to the caller: it holds only if no byte of the
+//! request was written, or if the endpoint reported that it did not run.
 
 use chalkrock_core::{Outcome, Reason};
 use serde::Serialize;
 
 use crate::route::RouteKind;
 
-/// How one attempt at an endpoint ended.
+/// How an attempt at an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptOutcome {
-    /// No connection, or a connection that closed before anything was written.
+    /// No connection, or one that closed before anything was written.
     NotSent,
-    /// The endpoint ceased to take new work before anything was written.
+    /// The endpoint stopped accepting work before anything was written.
     Withdrawn,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Refused,
-    /// The endpoint is not the one that was meant; it did not run the request.
+    /// Another endpoint received the request and did not run it.
     NotTheEndpoint,
-    /// The endpoint answered that it failed; it ran the request.
+    /// The endpoint ran the request and reported a failure.
     Failed,
-    /// The connection broke, or what came was not the answer.
+    /// The connection broke, or the answer was incomplete or malformed.
     Broken,
-    /// What came is not an answer to this request.
+    /// The answer does not belong to this request.
     Garbage,
-    /// No answer in time.
+    /// No answer within the time limit.
     Silent,
-    /// The host took it back before an answer began.
+    /// The host cancelled the attempt before an answer began.
     Recalled,
-    /// The endpoint broke off an answer that the caller had left unread.
+    /// The endpoint aborted an answer that the caller was not reading.
     Unread,
 }
 
 impl AttemptOutcome {
-    /// What this proves of the attempt.
+    /// Whether the request ran.
     pub fn outcome(self) -> Outcome {
         match self {
             AttemptOutcome::NotSent
@@ -52,8 +51,8 @@
         }
     }
 
-    /// Whether the endpoint took the request in, so that the attempt counts
-    /// against the route's most.
+    /// Whether the endpoint received the request, so that the attempt counts against
+    /// the route's limit.
     pub fn arrived(self) -> bool {
         !matches!(
             self,
@@ -61,14 +60,14 @@
         )
     }
 
-    /// Whether it reached a process at the endpoint's address, so that it counts
-    /// against the retry budget, also if that rejected it.
+    /// Whether a process at the endpoint's address received the request, so that the
+    /// attempt counts against the retry budget, even if it was rejected.
     pub fn reached(self) -> bool {
         !matches!(self, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn)
     }
 
-    /// Whether it speaks against what the endpoint runs: it took the request in and
-    /// brought no answer.
+    /// Whether it counts as a failure of the endpoint's build: the request arrived
+    /// and no valid answer followed.
     pub fn is_failure(self) -> bool {
         matches!(
             self,
@@ -79,7 +78,7 @@
         )
     }
 
-    /// What the caller is told if nothing comes after it.
+    /// Reason that the caller receives if no further attempt follows.
     pub fn reason(self) -> Reason {
         match self {
             AttemptOutcome::NotSent | AttemptOutcome::NotTheEndpoint => Reason::EndpointUnreachable,
@@ -98,15 +97,15 @@
 /// Whether a request may run again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatable {
-    /// It may.
+    /// It may run more than once.
     Yes,
-    /// It may not.
+    /// It may run at most once.
     No,
 }
 
 impl Repeatable {
-    /// Whether requests of a kind may be repeated: calls that are safe, and
-    /// streams that can be resumed.
+    /// Derives it from the route's kind: safe calls and resumable streams may be
+    /// repeated.
     pub fn of(kind: RouteKind) -> Self {
         match kind {
             RouteKind::Safe | RouteKind::Stream { resumable: true } => Repeatable::Yes,
@@ -115,21 +114,21 @@
     }
 }
 
-/// What to do after an attempt.
+/// The step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to another endpoint.
+    /// Retry on another endpoint.
     Elsewhere,
-    /// Give up, with this answer at once.
+    /// End the request with this reason.
     GiveUp(Reason),
 }
 
-/// What to do after an attempt that brought no answer to pass on.
+/// Decides the next step after an attempt without a usable answer.
 ///
-/// `sent` counts the endpoints that took the request in, this one included;
-/// `is_paid` tells whether the retry budget pays for one more, and is asked
-/// only if one is needed. An earlier attempt that may have run is not undone
-/// by a later one that did not: `earlier` is the worst of those before.
+/// `sent` counts the endpoints that received the request, this one included.
+/// `is_paid` spends a retry from the budget and is called only if a retry needs one.
+/// `earlier` is the worst outcome of the attempts before: one that may have run is
+/// not undone by a later one that did not.
 pub fn next_step(
     end: AttemptOutcome,
     earlier: Outcome,
@@ -144,8 +143,7 @@
     if may_send && (!end.reached() || is_paid()) {
         return Next::Elsewhere;
     }
-    // Only what surely did not run is told so; a request that may be repeated
-    // may be told so as well, since no one is harmed if it did run.
+    // `NotRun` is not reported once any attempt may have run.
     let reason = end.reason();
     if worst != Outcome::NotRun && reason.outcome() == Outcome::NotRun {
         return Next::GiveUp(Reason::EndpointLost);
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -1,17 +1,16 @@
-//! Endpoints that asked this host to send them nothing for a while.
+//! Endpoints that asked this host to back off.
 //!
-//! An endpoint that turns a request away may say for how long it wants nothing. That
-//! holds between the endpoint and this host, for all routes and organisations: other
-//! hosts are told by the endpoint itself, or serve it well. It is kept by the
-//! endpoint's start and not with the list, so that it outlives an entry that lapses,
-//! and ends with a start anew. A later word may lengthen it; a shorter one, or a good
-//! answer to a request that was sent before, takes nothing back.
+//! A rejection may state for how long the endpoint wants no requests. The backoff
+//! holds between that endpoint and this host, for all routes and organisations. It is
+//! keyed by the endpoint's start, so that it outlives an entry that lapses and ends
+//! with a restart. A later rejection may lengthen it but not shorten it, and a good
+//! answer to an earlier request does not end it.
 //!
-//! An endpoint that turns requests away has little in progress and looks idle: all
-//! hosts would come back to it at once. So each adds a part of its own to the time,
-//! and then sends few requests at first, which may be sent to another endpoint if they
-//! are turned away again. That only moves requests to others: where all endpoints are
-//! left alone or have just been, those that have just been are used.
+//! An endpoint that rejects requests has little in progress and looks idle, so that
+//! all hosts would return to it at once. Each host therefore adds jitter and then
+//! ramps up: it sends few requests at first, initially only those that can be retried
+//! elsewhere. If every endpoint is backing off or ramping up, those ramping up are
+//! used.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,31 +19,29 @@
 
 use crate::endpoints::Member;
 
-/// The longest time that is believed, an hour: what asks for more may not mean it, and
-/// is asked again then.
+/// Longest backoff that is honoured; an endpoint that needs longer asks again.
 pub const BACKOFF_MAX_MS: u64 = 3_600_000;
-/// The parts of the time that a host adds to it, drawn between the two. The endpoint
-/// counts from its answer, this host from its receipt.
-const ADDED_PARTS: std::ops::Range<f64> = 0.01..0.2;
-/// Time after its end in which few requests are sent.
-const RETURN_MS: u64 = 1_000;
-/// In a return one request may be sent at first, and twice as many after each such time.
-const RETURN_DOUBLING_MS: u64 = 200;
-
-/// What became of an endpoint's wish.
+/// Range of the jitter that a host adds, as a fraction of the requested time.
+const JITTER_FRACTION: std::ops::Range<f64> = 0.01..0.2;
+/// Duration of the ramp-up after a backoff.
+const RAMP_UP_MS: u64 = 1_000;
+/// The ramp-up allows one request at first and doubles the number at this interval.
+const RAMP_UP_DOUBLING_MS: u64 = 200;
+
+/// Effect of an endpoint's request to back off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackoffChange {
-    /// It is sent nothing from now on, for so long.
+    /// A backoff begins.
     Begun {
-        /// Milliseconds, with the part that this host adds.
+        /// Duration from now in milliseconds, jitter included.
         for_ms: u64,
     },
-    /// It goes on for so long from now.
+    /// The backoff that is active ends later.
     Lengthened {
-        /// Milliseconds, with the part that this host adds.
+        /// Duration from now in milliseconds, jitter included.
         for_ms: u64,
     },
-    /// It was asked for no time, or for less than is left already.
+    /// No time was requested, or less than remains already.
     None,
 }
 
@@ -52,11 +49,11 @@
 struct Backoff {
     endpoint: Arc<Endpoint>,
     until_ms: u64,
-    /// Requests that were sent since its end.
+    /// Requests sent during the ramp-up.
     sent: u32,
-    /// Whether one of them was answered and not turned away.
+    /// Whether the endpoint accepted one of them.
     is_answered: bool,
-    is_end_told: bool,
+    is_end_reported: bool,
 }
 
 impl Backoff {
@@ -64,12 +61,12 @@
         now_ms < self.until_ms
     }
 
-    fn returns(&self, now_ms: u64) -> bool {
-        !self.is_active(now_ms) && now_ms < self.until_ms + RETURN_MS
+    fn is_ramping_up(&self, now_ms: u64) -> bool {
+        !self.is_active(now_ms) && now_ms < self.until_ms + RAMP_UP_MS
     }
 }
 
-/// The endpoints that asked one host to send them nothing.
+/// The endpoints that asked one host to back off.
 ///
 /// # Example
 ///
@@ -110,20 +107,20 @@
 }
 
 impl Backoffs {
-    /// An endpoint wants nothing for so long; `draw`, from 0 up to 1, is this host's own.
+    /// Records a request to back off; `draw`, from 0 up to 1, sets the jitter.
     pub fn asked(
         &mut self,
         member: &Member,
-        asked_ms: u64,
+        requested_ms: u64,
         draw: f64,
         now_ms: u64,
     ) -> BackoffChange {
-        if asked_ms == 0 {
+        if requested_ms == 0 {
             return BackoffChange::None;
         }
-        let asked_ms = asked_ms.min(BACKOFF_MAX_MS);
-        let part = ADDED_PARTS.start + draw * (ADDED_PARTS.end - ADDED_PARTS.start);
-        let for_ms = asked_ms + (asked_ms as f64 * part).ceil() as u64;
+        let requested_ms = requested_ms.min(BACKOFF_MAX_MS);
+        let jitter = JITTER_FRACTION.start + draw * (JITTER_FRACTION.end - JITTER_FRACTION.start);
+        let for_ms = requested_ms + (requested_ms as f64 * jitter).ceil() as u64;
         let until_ms = now_ms + for_ms;
         let start = member.hash.short();
         let known = self.by_start.get(&start);
@@ -139,7 +136,7 @@
                 until_ms,
                 sent: 0,
                 is_answered: false,
-                is_end_told: false,
+                is_end_reported: false,
             },
         );
         if is_active {
@@ -149,71 +146,71 @@
         }
     }
 
-    /// Whether an endpoint is to be sent nothing now.
+    /// Whether an endpoint is backing off.
     pub fn is_active(&self, start: u32, now_ms: u64) -> bool {
         let backoff = self.by_start.get(&start);
         backoff.is_some_and(|backoff| backoff.is_active(now_ms))
     }
 
-    /// For how much longer an endpoint is sent nothing, in milliseconds.
+    /// Remaining backoff of an endpoint, in milliseconds.
     pub fn left_ms(&self, start: u32, now_ms: u64) -> u64 {
         let backoff = self.by_start.get(&start);
         backoff.map_or(0, |backoff| backoff.until_ms.saturating_sub(now_ms))
     }
 
-    /// Whether a request should rather go to another endpoint, since this one was left
-    /// alone until a moment ago; `has_attempt_left`: it may be sent to another one if it
-    /// is turned away.
+    /// Whether a request should go to another endpoint because this one is ramping
+    /// up; `has_attempt_left`: the request can be retried elsewhere if it is
+    /// rejected.
     pub fn prefers_others(&self, start: u32, has_attempt_left: bool, now_ms: u64) -> bool {
         let backoff = self.by_start.get(&start);
-        let Some(backoff) = backoff.filter(|backoff| backoff.returns(now_ms)) else {
+        let Some(backoff) = backoff.filter(|backoff| backoff.is_ramping_up(now_ms)) else {
             return false;
         };
-        let doublings = (now_ms - backoff.until_ms) / RETURN_DOUBLING_MS;
+        let doublings = (now_ms - backoff.until_ms) / RAMP_UP_DOUBLING_MS;
         let is_spent = backoff.sent >= 1 << doublings;
         is_spent || !(backoff.is_answered || has_attempt_left)
     }
 
-    /// A request is sent to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn sent(&mut self, start: u32, now_ms: u64) {
         let backoff = self.by_start.get_mut(&start);
-        if let Some(backoff) = backoff.filter(|backoff| backoff.returns(now_ms)) {
+        if let Some(backoff) = backoff.filter(|backoff| backoff.is_ramping_up(now_ms)) {
             backoff.sent += 1;
         }
     }
 
-    /// An endpoint answered a request and did not turn it away.
+    /// Records that an endpoint accepted a request.
     pub fn answered(&mut self, start: u32, now_ms: u64) {
         let backoff = self.by_start.get_mut(&start);
-        if let Some(backoff) = backoff.filter(|backoff| backoff.returns(now_ms)) {
+        if let Some(backoff) = backoff.filter(|backoff| backoff.is_ramping_up(now_ms)) {
             backoff.is_answered = true;
         }
     }
 
-    /// How many endpoints are sent nothing now.
+    /// Number of endpoints backing off.
     pub fn count(&self, now_ms: u64) -> usize {
         let all = self.by_start.values();
         all.filter(|backoff| backoff.is_active(now_ms)).count()
     }
 
-    /// Whether no endpoint has asked for time of late.
+    /// Whether no endpoint is recorded as backing off or ramping up.
     pub fn is_empty(&self) -> bool {
         self.by_start.is_empty()
     }
 
-    /// Drops what is over. Returns the endpoints that may be sent requests again, each
-    /// once.
+    /// Drops endpoints that have ramped up. Returns each endpoint whose backoff ended
+    /// since the last call.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Arc<Endpoint>> {
         let mut ended = Vec::new();
         self.by_start.retain(|_, backoff| {
             if backoff.is_active(now_ms) {
                 return true;
             }
-            if !backoff.is_end_told {
-                backoff.is_end_told = true;
+            if !backoff.is_end_reported {
+                backoff.is_end_reported = true;
                 ended.push(backoff.endpoint.clone());
             }
-            backoff.returns(now_ms)
+            backoff.is_ramping_up(now_ms)
         });
         ended
     }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,36 +1,36 @@
-//! A host's part of the fleet's retry budget, over a sliding window.
+//! A host's share of the fleet's retry budget, over a sliding window.
 //!
-//! The operator bounds the sends beyond each request's first, over all hosts,
-//! by a ratio of the requests plus a slack. A host pays from the ratio of its
-//! own requests and from an equal part of the slack, so that nothing has to be
-//! agreed: the parts add up to no more than the whole.
+//! The operator limits retries over all hosts to a ratio of the requests plus a fixed
+//! slack. Each host spends the ratio of its own requests and an equal share of the
+//! slack, so that hosts stay within the limit without coordination.
 
 use std::collections::VecDeque;
 
-/// Sub-windows of a window: how finely old counts drop out.
-const STEPS: u64 = 10;
-/// The part of the bound that is used: hosts do not agree on how many live.
-const USED: f64 = 0.8;
+/// Buckets per window.
+const BUCKETS: u64 = 10;
+/// Fraction of the limit that is spent, since hosts may disagree on how many are
+/// live.
+const USABLE_FRACTION: f64 = 0.8;
 
-/// The bound on retries.
+/// The operator's limit on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetRules {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries over the whole fleet beside the ratio.
+    /// Retries over the whole fleet in addition to the ratio.
     pub slack: f64,
-    /// The window in which both are counted.
+    /// Window in which requests and retries are counted.
     pub window_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Step {
-    number: u64,
+struct Bucket {
+    index: u64,
     requests: u32,
     retries: u32,
 }
 
-/// Counts of one pool's requests and retries on this host.
+/// Retry budget of one pool on this host.
 ///
 /// # Example
 ///
@@ -46,61 +46,65 @@
 #[derive(Clone, Debug)]
 pub struct WindowBudget {
     rules: BudgetRules,
-    steps: VecDeque<Step>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl WindowBudget {
-    /// An empty window.
+    /// Creates a budget without recorded requests.
     pub fn new(rules: BudgetRules) -> Self {
         Self {
             rules,
-            steps: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
-    /// A request is sent for the first time.
+    /// Records the first send of a request.
     pub fn request(&mut self, now_ms: u64) {
-        self.step(now_ms).requests += 1;
+        self.current_bucket(now_ms).requests += 1;
     }
 
-    /// Takes one retry, if there is one left. `hosts` is how many hosts share
-    /// the slack, this one among them.
+    /// Spends one retry if one remains. `hosts` is the number of hosts that share the
+    /// slack, this one included.
     pub fn take(&mut self, now_ms: u64, hosts: usize) -> bool {
         if !self.has_left(now_ms, hosts) {
             return false;
         }
-        self.step(now_ms).retries += 1;
+        self.current_bucket(now_ms).retries += 1;
         true
     }
 
-    /// Whether a retry is left to take.
+    /// Whether a retry remains.
     pub fn has_left(&mut self, now_ms: u64, hosts: usize) -> bool {
-        let slack = USED * self.rules.slack / hosts.max(1) as f64;
-        let ratio = USED * self.rules.ratio;
-        self.step(now_ms);
-        let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
-        let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
+        let slack = USABLE_FRACTION * self.rules.slack / hosts.max(1) as f64;
+        let ratio = USABLE_FRACTION * self.rules.ratio;
+        self.current_bucket(now_ms);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         f64::from(retries + 1) <= ratio * f64::from(requests) + slack
     }
 
-    /// The sub-window of now; those that have left the window are dropped.
-    fn step(&mut self, now_ms: u64) -> &mut Step {
-        let length_ms = (self.rules.window_ms / STEPS).max(1);
-        let number = now_ms / length_ms;
+    /// Returns the current bucket and drops those that have left the window.
+    fn current_bucket(&mut self, now_ms: u64) -> &mut Bucket {
+        let length_ms = (self.rules.window_ms / BUCKETS).max(1);
+        let index = now_ms / length_ms;
         while self
-            .steps
+            .buckets
             .front()
-            .is_some_and(|step| step.number + STEPS < number)
+            .is_some_and(|bucket| bucket.index + BUCKETS < index)
         {
-            self.steps.pop_front();
+            self.buckets.pop_front();
         }
-        if self.steps.back().is_none_or(|step| step.number < number) {
-            self.steps.push_back(Step {
-                number,
-                ..Step::default()
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.index < index)
+        {
+            self.buckets.push_back(Bucket {
+                index,
+                ..Bucket::default()
             });
         }
-        let last = self.steps.len() - 1;
-        &mut self.steps[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -1,62 +1,64 @@
-//! Endpoints that are cold: slow for some seconds after a start, and easily
-//! overrun.
+//! Limits requests to cold endpoints, which are slow for some seconds after a start
+//! and easily overloaded.
 //!
-//! A cold endpoint bears so many requests a second over the whole fleet, of which
-//! each host sees a small part. Hosts agree on nothing: a few hosts of the
-//! endpoint's own availability zone, drawn by rendezvous, send to it, each with
-//! a gap between its requests; all others send it none. [`ColdShare`] works out
-//! how many they are and how long the gap is, so that the bound holds in any
-//! second also where hosts that know of each other too late add a few senders.
+//! A cold endpoint sustains a low rate of requests over the whole fleet, and each
+//! host sees only its own. Without coordination, rendezvous hashing selects a few
+//! hosts of the endpoint's own availability zone, which send with a minimum gap
+//! between requests; all others send none. [`ColdShare`] sizes the number of senders
+//! and the gap so that the limit holds in any second, even if hosts with an
+//! incomplete view add a few senders.
 //!
-//! Who sends is drawn from all hosts of the zone that were heard in the last two
-//! minutes, silent ones included. A host that is cut off, frozen or gone keeps
-//! its part, which goes unused: no other takes it over while it might still
-//! send. A host that has just started, or hears no one, sends none.
+//! Senders are selected from all hosts of the zone that were seen in the last two
+//! minutes, silent ones included: the share of an isolated or suspended host stays
+//! unused, since it might still send. A host that has just started, or sees no other,
+//! sends none.
 
 use std::collections::HashMap;
 
 use chalkrock_core::rendezvous::{KeyHash, MemberHash, score};
 
-/// The operators' bound on requests to a cold endpoint, over the fleet.
+/// The operators' limit on the requests to a cold endpoint, over the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBound {
-    /// How many times the rate that it bears may arrive in a second.
+    /// Multiple of the sustained rate that may arrive in one second.
     pub overshoot: f64,
-    /// Requests beside these.
+    /// Requests per second in addition.
     pub slack: f64,
 }
 
 impl ColdBound {
-    /// Most requests in one second to an endpoint that bears so many.
-    fn requests_a_second(&self, bears_per_s: f64) -> f64 {
+    /// Most requests in one second to an endpoint with this sustained rate.
+    fn max_requests_per_s(&self, bears_per_s: f64) -> f64 {
         self.overshoot * bears_per_s + self.slack
     }
 }
 
-/// What one sender may send to a cold endpoint.
+/// Share of one sender in the requests to a cold endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdShare {
-    /// Hosts that send.
+    /// Number of hosts that send.
     pub senders: usize,
-    /// Requests a second of each.
+    /// Requests per second of each.
     pub per_s: f64,
 }
 
-/// Senders that are drawn beside the others by hosts that know fewer hosts: one,
-/// and one more for each three.
+/// Extra senders to allow for, since hosts with an incomplete view select others:
+/// one, and one more per this many senders.
 const SENDERS_PER_EXTRA: usize = 3;
-/// Hosts that the zone of a new host is taken to have: one that knows one other
-/// of eleven would take half of the rate for its own.
-const HOSTS_AT_LEAST: usize = 64;
-/// The part of the best rate that has to be left where there are more senders.
-const GOOD_RATE: f64 = 0.75;
+/// Minimum zone size that a new host assumes: it may not know all hosts yet, and
+/// would take too large a share.
+const MIN_ASSUMED_HOSTS: usize = 64;
+/// Minimum fraction of the best total rate that more senders must preserve.
+const MIN_RATE_FRACTION: f64 = 0.75;
 
 impl ColdShare {
-    /// The share for an endpoint that bears so many requests a second, in a zone
-    /// of so many hosts: as many senders as still give nearly the best rate, since
-    /// each more lets more requests find the home of their prefix. A host whose
-    /// gap is longer than a whole part of a second sends no more than so many in
-    /// any second; senders that should not be are counted as well.
+    /// Sizes the share for an endpoint with this sustained rate, in a zone of `hosts`
+    /// hosts.
+    ///
+    /// Uses as many senders as preserve nearly the best total rate, since more
+    /// senders let more requests reach the endpoint that caches their prefix. The
+    /// limit is divided into whole requests per second, extra senders included, so
+    /// that it holds in any second.
     ///
     /// # Example
     ///
@@ -69,57 +71,55 @@
     /// assert_eq!(share.per_s, 13.0 / 16.0);
     /// ```
     pub fn of(bound: &ColdBound, bears_per_s: f64, hosts: usize) -> Self {
-        let most = bound.requests_a_second(bears_per_s);
+        let limit_per_s = bound.max_requests_per_s(bears_per_s);
         let share = |senders: usize| {
             let extra = 1 + senders / SENDERS_PER_EXTRA;
-            let in_a_second = (most / (senders + extra) as f64).floor();
+            let whole_per_s = (limit_per_s / (senders + extra) as f64).floor();
             Self {
                 senders,
-                per_s: in_a_second.min(bears_per_s / senders as f64),
+                per_s: whole_per_s.min(bears_per_s / senders as f64),
             }
         };
         let rate = |share: &Self| share.senders as f64 * share.per_s;
         let shares = (1..=hosts.max(1)).map(share);
         let best = shares.clone().map(|share| rate(&share)).fold(0.0, f64::max);
-        let is_good = |share: &Self| rate(share) >= GOOD_RATE * best;
+        let is_good = |share: &Self| rate(share) >= MIN_RATE_FRACTION * best;
         shares.rev().find(is_good).unwrap_or_else(|| share(1))
     }
 
-    /// The least time between two requests of one sender, in milliseconds; `None`
-    /// if it may send none.
+    /// Minimum time between two requests of one sender; `None` if it may send none.
     fn gap_ms(&self) -> Option<u64> {
         const SECOND_MS: f64 = 1_000.0;
-        const OVER_MS: f64 = 1.0;
-        (self.per_s > 0.0).then(|| (SECOND_MS / self.per_s + OVER_MS).ceil() as u64)
+        const MARGIN_MS: f64 = 1.0;
+        (self.per_s > 0.0).then(|| (SECOND_MS / self.per_s + MARGIN_MS).ceil() as u64)
     }
 }
 
-/// How long it is remembered that an endpoint said that it is cold. A zone whose
-/// endpoints turned cold 2.3 s before it was taken back would otherwise be sent
-/// little for 3 s more.
-const TOLD_REMEMBERED_MS: u64 = 5_000;
+/// How long an endpoint's report that it is cold is remembered after its end. Until
+/// then the endpoint is not presumed cold when its zone returns to service.
+const REPORT_RETENTION_MS: u64 = 5_000;
 
-/// What is known of an endpoint that may be cold.
+/// State of an endpoint that may be cold.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cold {
-    /// Until when it says that it is cold.
-    told_until_ms: u64,
-    /// Until when it may be cold without having said so yet.
-    doubt_until_ms: u64,
+    /// End of the cold period that the endpoint reported.
+    reported_until_ms: u64,
+    /// End of the presumed cold period of an endpoint that has not reported one.
+    presumed_until_ms: u64,
     sent_at_ms: Option<u64>,
 }
 
 impl Cold {
     fn until_ms(&self) -> u64 {
-        self.told_until_ms.max(self.doubt_until_ms)
+        self.reported_until_ms.max(self.presumed_until_ms)
     }
 
-    fn was_told_of_late(&self, now_ms: u64) -> bool {
-        self.told_until_ms > 0 && now_ms < self.told_until_ms + TOLD_REMEMBERED_MS
+    fn was_reported_recently(&self, now_ms: u64) -> bool {
+        self.reported_until_ms > 0 && now_ms < self.reported_until_ms + REPORT_RETENTION_MS
     }
 }
 
-/// The endpoints that are cold as one host knows them, and what it may send them.
+/// The cold endpoints known to one host, and which requests it may send to them.
 ///
 /// # Example
 ///
@@ -127,9 +127,9 @@
 /// use chalkrock_core::rendezvous::MemberHash;
 /// use chalkrock_routing::{ColdBound, ColdEndpoints};
 ///
-/// let own = MemberHash::of("host-1");
+/// let local_host = MemberHash::of("host-1");
 /// let mut cold = ColdEndpoints::new(Some(ColdBound { overshoot: 1.5, slack: 5.0 }));
-/// cold.set_hosts(own, vec![own], false);
+/// cold.set_hosts(local_host, vec![local_host], false);
 /// cold.told(7, 3_000, 0);
 /// assert!(cold.may_send(7, 2.0, true, 0));
 /// cold.sent(7, 0);
@@ -138,19 +138,19 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ColdEndpoints {
-    /// `None` if operators set none: then no endpoint is treated as cold.
+    /// `None` if operators set no limit; then requests are not limited.
     bound: Option<ColdBound>,
-    /// This host and all that it knows of its zone; empty while it must not
-    /// send to cold endpoints.
+    /// Known hosts of this host's zone, itself included; empty while it must not
+    /// send.
     hosts: Vec<MemberHash>,
-    /// Hosts for which this host's share is worked out, if it knows fewer.
-    hosts_at_least: usize,
-    own: Option<MemberHash>,
+    /// Minimum zone size for which this host's share is sized.
+    min_hosts: usize,
+    local_host: Option<MemberHash>,
     endpoints: HashMap<u32, Cold>,
 }
 
 impl ColdEndpoints {
-    /// None is cold yet.
+    /// Creates a table without cold endpoints.
     pub fn new(bound: Option<ColdBound>) -> Self {
         Self {
             bound,
@@ -158,44 +158,43 @@
         }
     }
 
-    /// Takes the operators' bound anew.
+    /// Replaces the operators' limit.
     pub fn set_bound(&mut self, bound: Option<ColdBound>) {
         self.bound = bound;
     }
 
-    /// The hosts of this host's zone, itself included, among which senders are
-    /// drawn; none while this host must not send to cold endpoints. A host that
-    /// `is_new` may not know all of them yet.
-    pub fn set_hosts(&mut self, own: MemberHash, hosts: Vec<MemberHash>, is_new: bool) {
-        self.own = Some(own);
-        self.hosts_at_least = if is_new { HOSTS_AT_LEAST } else { 1 };
+    /// Replaces the hosts of this host's zone, itself included, from which senders
+    /// are selected; empty while this host must not send. A host that `is_new` may
+    /// not know all of them yet.
+    pub fn set_hosts(&mut self, local_host: MemberHash, hosts: Vec<MemberHash>, is_new: bool) {
+        self.local_host = Some(local_host);
+        self.min_hosts = if is_new { MIN_ASSUMED_HOSTS } else { 1 };
         self.hosts = hosts;
     }
 
-    /// An endpoint said for how much longer it is cold. Returns whether it was
-    /// not known to be.
+    /// Records for how much longer an endpoint reports to be cold. Returns whether it
+    /// was not known to be cold.
     pub fn told(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) -> bool {
         if left_ms == 0 {
             if let Some(cold) = self.endpoints.get_mut(&endpoint) {
-                cold.told_until_ms = now_ms;
+                cold.reported_until_ms = now_ms;
             }
             return false;
         }
-        let is_news = !self.is_cold(endpoint, now_ms);
+        let is_newly_cold = !self.is_cold(endpoint, now_ms);
         let cold = self.endpoints.entry(endpoint).or_default();
-        cold.told_until_ms = now_ms + left_ms;
-        cold.doubt_until_ms = 0;
-        is_news
+        cold.reported_until_ms = now_ms + left_ms;
+        cold.presumed_until_ms = 0;
+        is_newly_cold
     }
 
-    /// An endpoint may be cold for so long, and may not have said so yet; one that
-    /// did so of late is known.
+    /// Presumes an endpoint cold for a time, unless it reported recently.
     pub fn doubt(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) {
         let known = self.endpoints.get(&endpoint);
-        let has_told = known.is_some_and(|cold| cold.was_told_of_late(now_ms));
-        if left_ms > 0 && !has_told {
+        let has_reported = known.is_some_and(|cold| cold.was_reported_recently(now_ms));
+        if left_ms > 0 && !has_reported {
             let cold = self.endpoints.entry(endpoint).or_default();
-            cold.doubt_until_ms = now_ms + left_ms;
+            cold.presumed_until_ms = now_ms + left_ms;
         }
     }
 
@@ -204,13 +203,13 @@
         self.left_ms(endpoint, now_ms) > 0
     }
 
-    /// For how much longer an endpoint is treated as cold.
+    /// Remaining time for which an endpoint is treated as cold, in milliseconds.
     pub fn left_ms(&self, endpoint: u32, now_ms: u64) -> u64 {
         let cold = self.endpoints.get(&endpoint);
         cold.map_or(0, |cold| cold.until_ms().saturating_sub(now_ms))
     }
 
-    /// How many endpoints are treated as cold; none where operators set no bound.
+    /// Number of endpoints treated as cold; 0 without a limit.
     pub fn count(&self, now_ms: u64) -> usize {
         if self.bound.is_none() {
             return 0;
@@ -219,29 +218,34 @@
         all.filter(|cold| cold.until_ms() > now_ms).count()
     }
 
-    /// Whether no endpoint has been cold of late.
+    /// Whether no endpoint is recorded as cold.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Whether an endpoint is cold and bears only so many requests a second meanwhile
-    /// (0 for any number), and operators bound what it is sent.
+    /// Whether requests to an endpoint are limited now: it is cold, its sustained
+    /// rate is not 0 (unlimited), and operators set a limit.
     pub fn is_bounded(&self, endpoint: u32, bears_per_s: f64, now_ms: u64) -> bool {
         self.bound.is_some() && bears_per_s > 0.0 && self.is_cold(endpoint, now_ms)
     }
 
-    /// Whether this host may send a request to an endpoint now, which bears so
-    /// many a second while it is cold (0 for one that bears any number);
-    /// `is_near`: of this host's zone.
-    pub fn may_send(&self, endpoint: u32, bears_per_s: f64, is_near: bool, now_ms: u64) -> bool {
+    /// Whether this host may send a request to an endpoint now. A sustained rate of 0
+    /// means unlimited; `is_same_zone`: the endpoint is in this host's zone.
+    pub fn may_send(
+        &self,
+        endpoint: u32,
+        bears_per_s: f64,
+        is_same_zone: bool,
+        now_ms: u64,
+    ) -> bool {
         let is_bounded = self.is_bounded(endpoint, bears_per_s, now_ms);
         let cold = self.endpoints.get(&endpoint).filter(|_| is_bounded);
         let (Some(bound), Some(cold)) = (self.bound, cold) else {
             return true;
         };
-        let hosts = self.hosts.len().max(self.hosts_at_least);
+        let hosts = self.hosts.len().max(self.min_hosts);
         let share = ColdShare::of(&bound, bears_per_s, hosts);
-        if !is_near || !self.is_sender(endpoint, share.senders) {
+        if !is_same_zone || !self.is_sender(endpoint, share.senders) {
             return false;
         }
         let Some(gap_ms) = share.gap_ms() else {
@@ -250,27 +254,30 @@
         cold.sent_at_ms.is_none_or(|sent| now_ms >= sent + gap_ms)
     }
 
-    /// A request goes to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn sent(&mut self, endpoint: u32, now_ms: u64) {
         if let Some(cold) = self.endpoints.get_mut(&endpoint) {
             cold.sent_at_ms = Some(now_ms);
         }
     }
 
-    /// Drops what is known of endpoints that have not been cold for a while.
+    /// Drops endpoints that have not been cold recently.
     pub fn expire(&mut self, now_ms: u64) {
         self.endpoints
-            .retain(|_, cold| cold.until_ms() > now_ms || cold.was_told_of_late(now_ms));
+            .retain(|_, cold| cold.until_ms() > now_ms || cold.was_reported_recently(now_ms));
     }
 
-    /// Whether this host is among so many first of its zone.
+    /// Whether this host ranks among the first `senders` of its zone for an endpoint.
     fn is_sender(&self, endpoint: u32, senders: usize) -> bool {
-        let Some(own) = self.own.filter(|own| self.hosts.contains(own)) else {
+        let Some(local_host) = self
+            .local_host
+            .filter(|local_host| self.hosts.contains(local_host))
+        else {
             return false;
         };
         let rank = |host: MemberHash| score(KeyHash(u64::from(endpoint)), host, 1.0);
-        let own_rank = rank(own);
-        let before = self.hosts.iter().filter(|host| rank(**host) > own_rank);
+        let local_rank = rank(local_host);
+        let before = self.hosts.iter().filter(|host| rank(**host) > local_rank);
         before.count() < senders
     }
 }
--- a/crates/routing/src/drain_schedule.rs
+++ b/crates/routing/src/drain_schedule.rs
@@ -1,41 +1,41 @@
-//! What a host still takes after it was asked to stop.
+//! Phases of a graceful stop.
 //!
-//! The entry balancer notices a host that is not ready within a few seconds,
-//! and callers go on using kept connections until they are told not to. So a
-//! host that stops says at once that it is not ready and that each connection
-//! closes after its next answer; it takes new requests for a part of its grace
-//! that leaves the longest ones time to end; then it refuses, so that callers
-//! ask another host; and it ends when nothing runs and the entry has noticed.
+//! The entry balancer takes a few seconds to notice that a host is not ready, and
+//! callers use kept-alive connections until asked to close them. A stopping host
+//! therefore reports not ready at once and closes each connection after its next
+//! answer. It accepts new requests for a fraction of its grace period, which leaves
+//! the longest ones time to end, then rejects them, so that callers retry on another
+//! host. It exits when no request runs and the entry balancer has noticed.
 
-/// Part of the grace in which new requests are taken.
-const TAKES_PART: f64 = 0.3;
-/// The entry has noticed after this, and sends no new connections.
-const NOTICED_MS: u64 = 2_600;
-/// What is kept of the grace for the process itself to end.
-const RESERVE_MS: u64 = 250;
+/// Fraction of the grace period in which new requests are accepted.
+const ACCEPT_FRACTION: f64 = 0.3;
+/// Time after which the entry balancer sends no new connections.
+const BALANCER_DELAY_MS: u64 = 2_600;
+/// Part of the grace period reserved for the process to exit.
+const EXIT_RESERVE_MS: u64 = 250;
 
-/// What a host that is stopping does.
+/// Phase of a graceful stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainPhase {
-    /// Takes requests and closes each connection after its answer.
+    /// Accepts requests and closes each connection after its answer.
     TakesLast,
-    /// Refuses requests, and lets those that run end.
+    /// Rejects new requests while running ones end.
     Drains,
-    /// Ends.
+    /// Exits.
     Ends,
 }
 
-/// The plan of one stop.
+/// Schedule of one stop.
 ///
 /// # Example
 ///
 /// ```
 /// use chalkrock_routing::{DrainPhase, DrainSchedule};
 ///
-/// let plan = DrainSchedule::new(8_000);
-/// assert_eq!(plan.phase(0, 3), DrainPhase::TakesLast);
-/// assert_eq!(plan.phase(4_000, 3), DrainPhase::Drains);
-/// assert_eq!(plan.phase(4_000, 0), DrainPhase::Ends);
+/// let schedule = DrainSchedule::new(8_000);
+/// assert_eq!(schedule.phase(0, 3), DrainPhase::TakesLast);
+/// assert_eq!(schedule.phase(4_000, 3), DrainPhase::Drains);
+/// assert_eq!(schedule.phase(4_000, 0), DrainPhase::Ends);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainSchedule {
@@ -43,23 +43,23 @@
 }
 
 impl DrainSchedule {
-    /// A stop that is followed by a kill after `grace_ms`.
+    /// Schedules a stop after which the process is killed at `grace_ms`.
     pub fn new(grace_ms: u64) -> Self {
         Self { grace_ms }
     }
 
-    /// What to do `elapsed_ms` after the stop was asked for, with so many
-    /// requests still running.
+    /// Phase `elapsed_ms` after the stop was requested, with `running` requests in
+    /// progress.
     pub fn phase(&self, elapsed_ms: u64, running: usize) -> DrainPhase {
-        let takes_until_ms = (TAKES_PART * self.grace_ms as f64) as u64;
-        let ends_at_ms = self.grace_ms.saturating_sub(RESERVE_MS);
-        if elapsed_ms >= ends_at_ms {
+        let accepts_until_ms = (ACCEPT_FRACTION * self.grace_ms as f64) as u64;
+        let exits_at_ms = self.grace_ms.saturating_sub(EXIT_RESERVE_MS);
+        if elapsed_ms >= exits_at_ms {
             return DrainPhase::Ends;
         }
-        if elapsed_ms < takes_until_ms {
+        if elapsed_ms < accepts_until_ms {
             return DrainPhase::TakesLast;
         }
-        if running == 0 && elapsed_ms >= NOTICED_MS.min(ends_at_ms) {
+        if running == 0 && elapsed_ms >= BALANCER_DELAY_MS.min(exits_at_ms) {
             return DrainPhase::Ends;
         }
         DrainPhase::Drains
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,22 +1,20 @@
-//! Which endpoints exist and which of them may be given new work.
+//! Which endpoints exist and which of them accept new work.
 //!
-//! The list comes from the platform, whole or by changes, and from other
-//! hosts, in the order of the store's versions. An endpoint may start again by its
-//! name: another incarnation is another endpoint. Its number tells starts apart and
-//! not which is the later one, since endpoints take it from the time of day, which
-//! may step back.
+//! Entries come from the store, as a full list or as changes, and from other hosts,
+//! in the order of the store's versions. An endpoint that restarts keeps its name;
+//! another incarnation counts as another endpoint. An incarnation identifies a start
+//! but does not reliably order starts, since endpoints take it from the wall clock,
+//! which may step back.
 //!
-//! Within one incarnation leaving is sticky: an endpoint that has begun to leave is
-//! never taken back, however late, reordered or stale the next word of it is. It may
-//! say so in an answer long before its entry does, while the store is away or slow,
-//! and a host may hear of it from another before it knows the entry: so starts that
-//! leave are remembered apart from the list.
+//! Within one incarnation leaving is sticky: no late, reordered or stale update
+//! reverts it. An endpoint may report in an answer that it leaves long before its
+//! entry does, and another host may pass that on before the entry is known, so
+//! leaving starts are kept apart from the list.
 //!
-//! An endpoint that is merely no longer listed may be listed again, and until then
-//! takes no new work; but entries that lapsed while the platform's store was away are
-//! kept for a short time after its return, in which endpoints that live are listed
-//! again. An endpoint of an evacuated zone takes no new work until the zone is taken
-//! back.
+//! An unlisted endpoint accepts no new work until it is listed again. Entries that
+//! lapse while the store is unavailable are kept for a short time after its return,
+//! in which live endpoints are listed again. Endpoints of an evacuated zone accept no
+//! new work until the evacuation ends.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -24,20 +22,20 @@
 use chalkrock_core::rendezvous::MemberHash;
 use chalkrock_core::{Endpoint, EndpointId, HostState, PoolId, ZoneId};
 
-/// How long an endpoint that left is remembered, so that a late word can't
-/// bring it back.
-const REMEMBERED_MS: u64 = 120_000;
+/// How long an endpoint that left is remembered, so that a late update can't revive
+/// it.
+const RETENTION_MS: u64 = 120_000;
 
 /// Whether an endpoint may be given new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// Listed and live.
     Live,
-    /// It would take work, but its zone is evacuated.
+    /// It would accept work, but its zone is evacuated.
     Evacuated,
-    /// It said that it leaves, or another host heard it say so.
+    /// It reported to this host or another that it leaves.
     Leaving,
-    /// No longer listed, as far as is known since the store was away.
+    /// Unlisted after the store was unavailable, and still in use.
     Lapsed,
     /// No longer listed.
     Unlisted,
@@ -48,22 +46,22 @@
 pub struct Member {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// The hash of its start, for ranks and for reports.
+    /// Hash of its start, for ranking and reports.
     pub hash: MemberHash,
     /// Whether its zone is evacuated.
     pub is_evacuated: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownEndpoint {
     member: Member,
     is_listed: bool,
-    /// It was unlisted while entries that lapsed are kept.
+    /// Whether it was unlisted while lapsed entries are kept.
     is_lapsed: bool,
     unlisted_at_ms: u64,
 }
 
-impl Known {
+impl KnownEndpoint {
     fn state(&self) -> EndpointState {
         if self.member.endpoint.state == HostState::Leaving {
             EndpointState::Leaving
@@ -82,7 +80,7 @@
         matches!(self.state(), EndpointState::Live | EndpointState::Lapsed)
     }
 
-    fn serves(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.takes_work() || self.state() == EndpointState::Evacuated
     }
 
@@ -93,7 +91,7 @@
     }
 }
 
-/// All endpoints as one host knows them.
+/// All endpoints known to one host.
 ///
 /// # Example
 ///
@@ -107,29 +105,29 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
-    /// By name, so that pools need no sorting whenever one changes.
-    known: BTreeMap<EndpointId, Known>,
+    /// Sorted by name, so that pools need no sorting after a change.
+    known: BTreeMap<EndpointId, KnownEndpoint>,
     live: HashMap<PoolId, Arc<[Member]>>,
-    /// Those that take new work or would if their zones were not evacuated.
+    /// Endpoints that accept new work, or would if their zones were not evacuated.
     serving: HashMap<PoolId, Arc<[Member]>>,
-    /// Those that are leaving and still listed.
+    /// Endpoints that are leaving and still listed.
     parting: HashMap<PoolId, Arc<[Member]>>,
     keeps_lapsed: bool,
     evacuated: BTreeSet<ZoneId>,
-    /// Starts that said so themselves or to other hosts, by short hash.
+    /// Starts that reported that they leave, by short hash.
     leaving_starts: HashMap<u32, LeavingStart>,
 }
 
-/// A start of an endpoint that is known to leave by another word than its entry.
+/// A start that reported that it leaves, other than by its entry.
 #[derive(Clone, Debug)]
 struct LeavingStart {
     /// `None` while no entry of it is known.
     endpoint: Option<Arc<Endpoint>>,
-    heard_at_ms: u64,
+    reported_at_ms: u64,
 }
 
 impl EndpointTable {
-    /// Takes the whole list: whoever is not on it is unlisted.
+    /// Replaces the whole list; endpoints missing from it become unlisted.
     pub fn replace(&mut self, endpoints: Vec<Endpoint>, now_ms: u64) {
         let keeps_lapsed = self.keeps_lapsed;
         for known in self.known.values_mut().filter(|known| known.is_listed) {
@@ -138,12 +136,11 @@
         for endpoint in endpoints {
             self.merge(endpoint);
         }
-        self.forget_old(now_ms);
+        self.drop_expired(now_ms);
         self.rebuild();
     }
 
-    /// What an older list says of an endpoint, or the start that is known if it tells
-    /// of a later one.
+    /// Returns an endpoint of an older list, or the known start if that is later.
     pub fn later_start(&self, listed: Endpoint) -> Endpoint {
         let known = self.known.get(&listed.name);
         let known = known.map(|known| &*known.member.endpoint);
@@ -151,23 +148,22 @@
         later.cloned().unwrap_or(listed)
     }
 
-    /// Takes one endpoint's entry, new or changed.
+    /// Adds or updates one endpoint's entry.
     pub fn upsert(&mut self, endpoint: Endpoint) {
         self.merge(endpoint);
         self.rebuild();
     }
 
-    /// An endpoint is no longer listed.
+    /// Unlists an endpoint.
     pub fn remove(&mut self, name: &EndpointId, now_ms: u64) {
         if let Some(known) = self.known.get_mut(name) {
             known.unlist(self.keeps_lapsed, now_ms);
         }
-        self.forget_old(now_ms);
+        self.drop_expired(now_ms);
         self.rebuild();
     }
 
-    /// An endpoint's entry no longer says what it is: it is not kept, also where
-    /// entries that lapsed are.
+    /// Unlists an endpoint whose entry is invalid, without keeping it as lapsed.
     pub fn discard(&mut self, name: &EndpointId, now_ms: u64) {
         if let Some(known) = self.known.get_mut(name) {
             known.unlist(false, now_ms);
@@ -175,9 +171,9 @@
         self.rebuild();
     }
 
-    /// Whether endpoints that are unlisted from now on go on taking work: the
-    /// store was away, and their entries may have lapsed. Once they are no
-    /// longer kept, those that were not listed again are gone.
+    /// Sets whether endpoints that become unlisted still accept work, since their
+    /// entries may have lapsed while the store was unavailable. Clearing this ends
+    /// that for all endpoints that were not listed again.
     pub fn keep_lapsed(&mut self, keeps_lapsed: bool) {
         self.keeps_lapsed = keeps_lapsed;
         if keeps_lapsed {
@@ -189,7 +185,7 @@
         self.rebuild();
     }
 
-    /// Endpoints of these zones take no new work, and those of all others do.
+    /// Replaces the set of evacuated zones, whose endpoints accept no new work.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneId>) {
         self.evacuated = zones;
         for known in self.known.values_mut() {
@@ -199,8 +195,8 @@
         self.rebuild();
     }
 
-    /// These starts leave, told by their short hashes: they said so to this host or to
-    /// another one. Returns those that were not known to.
+    /// Marks starts as leaving, given their short hashes. Returns the endpoints that
+    /// were not leaving before.
     pub fn mark_leaving(&mut self, starts: &[u32], now_ms: u64) -> Vec<Arc<Endpoint>> {
         let is_new = |start: &u32| !self.leaving_starts.contains_key(start);
         let new: Vec<u32> = starts.iter().copied().filter(is_new).collect();
@@ -210,7 +206,7 @@
         for start in &new {
             let leaving = LeavingStart {
                 endpoint: None,
-                heard_at_ms: now_ms,
+                reported_at_ms: now_ms,
             };
             self.leaving_starts.insert(*start, leaving);
         }
@@ -234,7 +230,7 @@
         marked
     }
 
-    /// Forgets starts that left long ago. Returns those that had an entry.
+    /// Drops starts that left long ago. Returns those that had an entry.
     pub fn expire_leaving(&mut self, now_ms: u64) -> Vec<Arc<Endpoint>> {
         let mut forgotten = Vec::new();
         let known = &self.known;
@@ -242,33 +238,34 @@
             let entry = leaving.endpoint.as_ref();
             let entry = entry.and_then(|endpoint| known.get(&endpoint.name));
             let is_known = entry.is_some_and(|known| known.member.hash.short() == *start);
-            let is_kept = is_known || now_ms.saturating_sub(leaving.heard_at_ms) < REMEMBERED_MS;
-            if !is_kept {
+            let is_retained =
+                is_known || now_ms.saturating_sub(leaving.reported_at_ms) < RETENTION_MS;
+            if !is_retained {
                 forgotten.extend(leaving.endpoint.take());
             }
-            is_kept
+            is_retained
         });
         forgotten
     }
 
-    /// The endpoints of a pool that may be given new work, by name.
+    /// Endpoints of a pool that accept new work, by name.
     pub fn live(&self, pool: &PoolId) -> Arc<[Member]> {
         self.live.get(pool).cloned().unwrap_or_default()
     }
 
-    /// The endpoints of a pool that are neither leaving nor gone, by name: those
-    /// that may be given new work, and those of evacuated zones.
+    /// Endpoints of a pool that are neither leaving nor gone, by name, including
+    /// those of evacuated zones.
     pub fn serving(&self, pool: &PoolId) -> Arc<[Member]> {
         self.serving.get(pool).cloned().unwrap_or_default()
     }
 
-    /// The endpoints of a zone that are neither leaving nor gone.
+    /// Endpoints of a zone that are neither leaving nor gone.
     pub fn serving_in(&self, zone: &ZoneId) -> impl Iterator<Item = &Member> {
         let serving = self.serving.values().flat_map(|members| members.iter());
         serving.filter(move |member| member.endpoint.zone == *zone)
     }
 
-    /// Whether a start of an endpoint may be given new work.
+    /// Whether this start of an endpoint accepts new work.
     pub fn takes_work(&self, endpoint: &Endpoint) -> bool {
         let known = self.known.get(&endpoint.name);
         known.is_some_and(|known| {
@@ -277,24 +274,23 @@
         })
     }
 
-    /// The endpoints of a pool that take no new work and are still there: what
-    /// they hold in memory can be copied until they go.
+    /// Endpoints of a pool that are leaving and still listed. What they hold in
+    /// memory can be copied until they exit.
     pub fn parting(&self, pool: &PoolId) -> Arc<[Member]> {
         self.parting.get(pool).cloned().unwrap_or_default()
     }
 
-    /// The endpoints that have not ended as far as is known, be they leaving or no
-    /// longer listed.
+    /// All known endpoints, including those leaving or no longer listed.
     pub fn known(&self) -> impl Iterator<Item = &Member> {
         self.known.values().map(|known| &known.member)
     }
 
-    /// Whether an endpoint may be given new work; `None` if it is not known.
+    /// State of an endpoint; `None` if it is unknown.
     pub fn state(&self, name: &EndpointId) -> Option<EndpointState> {
-        self.known.get(name).map(Known::state)
+        self.known.get(name).map(KnownEndpoint::state)
     }
 
-    /// Short hashes of the endpoints that are leaving and still listed, or may be again.
+    /// Short hashes of leaving endpoints that are listed or lapsed.
     pub fn leaving(&self) -> Vec<u32> {
         let leaving = self.known.values().filter(|known| {
             known.state() == EndpointState::Leaving && (known.is_listed || known.is_lapsed)
@@ -302,28 +298,28 @@
         leaving.map(|known| known.member.hash.short()).collect()
     }
 
-    /// How many endpoints may be given new work.
+    /// Number of endpoints that accept new work.
     pub fn live_count(&self) -> usize {
         self.live.values().map(|members| members.len()).sum()
     }
 
-    /// How many endpoints are neither leaving nor gone.
+    /// Number of endpoints that are neither leaving nor gone.
     pub fn serving_count(&self) -> usize {
         self.serving.values().map(|members| members.len()).sum()
     }
 
-    /// The endpoints that are listed, to pass on.
+    /// The listed endpoints.
     pub fn listed(&self) -> impl Iterator<Item = &Member> {
         let listed = self.known.values().filter(|known| known.is_listed);
         listed.map(|known| &known.member)
     }
 
-    /// How many endpoints are listed.
+    /// Number of listed endpoints.
     pub fn listed_count(&self) -> usize {
         self.listed().count()
     }
 
-    /// Short hashes of the endpoints that are listed.
+    /// Short hashes of the listed endpoints.
     pub fn listed_hashes(&self) -> HashSet<u32> {
         let listed = self.known.values().filter(|known| known.is_listed);
         listed.map(|known| known.member.hash.short()).collect()
@@ -341,14 +337,14 @@
         let hash = endpoint.start_hash();
         let leaving = self.leaving_starts.get_mut(&hash.short());
         if leaving.is_some() {
-            // The entry is older than the word that the endpoint leaves.
+            // The entry is older than the report that the endpoint leaves.
             endpoint.state = HostState::Leaving;
         }
         let endpoint = Arc::new(endpoint);
         if let Some(leaving) = leaving {
             leaving.endpoint = Some(endpoint.clone());
         }
-        let known = Known {
+        let known = KnownEndpoint {
             member: Member {
                 hash,
                 is_evacuated: self.evacuated.contains(&endpoint.zone),
@@ -361,24 +357,24 @@
         self.known.insert(known.member.endpoint.name.clone(), known);
     }
 
-    fn forget_old(&mut self, now_ms: u64) {
+    fn drop_expired(&mut self, now_ms: u64) {
         self.known.retain(|_, known| {
-            known.is_listed || now_ms.saturating_sub(known.unlisted_at_ms) < REMEMBERED_MS
+            known.is_listed || now_ms.saturating_sub(known.unlisted_at_ms) < RETENTION_MS
         });
     }
 
     fn rebuild(&mut self) {
-        self.live = self.by_pool(Known::takes_work);
+        self.live = self.by_pool(KnownEndpoint::takes_work);
         self.serving = if self.evacuated.is_empty() {
             self.live.clone()
         } else {
-            self.by_pool(Known::serves)
+            self.by_pool(KnownEndpoint::is_serving)
         };
         self.parting =
             self.by_pool(|known| known.state() == EndpointState::Leaving && known.is_listed);
     }
 
-    fn by_pool(&self, belongs: impl Fn(&Known) -> bool) -> HashMap<PoolId, Arc<[Member]>> {
+    fn by_pool(&self, belongs: impl Fn(&KnownEndpoint) -> bool) -> HashMap<PoolId, Arc<[Member]>> {
         let mut pools: HashMap<PoolId, Vec<Member>> = HashMap::new();
         for known in self.known.values().filter(|known| belongs(known)) {
             let pool = known.member.endpoint.pool.clone();
--- a/crates/routing/src/evacuations.rs
+++ b/crates/routing/src/evacuations.rs
@@ -1,10 +1,8 @@
-//! Availability zones to whose endpoints nothing more is to be sent.
+//! Evacuated availability zones, whose endpoints receive no new requests.
 //!
-//! Operators ask for a zone to be emptied, and later take that back. What a host
-//! knows of it is always the whole: the zones that were evacuated as of one
-//! version of the platform's store. So whoever knows the later version is right
-//! about every zone, in whatever order and by whatever way word arrives, and
-//! nothing that was taken back can come again.
+//! A state always covers all zones, as of one version of the store. The state of the
+//! later version therefore holds for every zone, in whatever order and on whatever
+//! path states arrive, and an evacuation that ended can't reappear.
 
 use std::collections::BTreeSet;
 
@@ -13,14 +11,14 @@
 
 use crate::StoreVersion;
 
-/// An operator asked to empty a zone, or took that back.
+/// An operator's request to evacuate a zone or to end its evacuation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationRow {
-    /// When.
+    /// Store version of the request.
     pub version: StoreVersion,
     /// The zone.
     pub zone: ZoneId,
-    /// Whether it is to be empty.
+    /// Whether the zone is evacuated from this version on.
     pub is_evacuated: bool,
 }
 
@@ -29,12 +27,12 @@
 pub struct EvacuationChange {
     /// Zones that are evacuated from now on.
     pub begun: Vec<ZoneId>,
-    /// Zones that were taken back.
+    /// Zones whose evacuation ended.
     pub ended: Vec<ZoneId>,
 }
 
 impl EvacuationChange {
-    /// Each zone that changed, and whether it is evacuated from now on.
+    /// Each changed zone, and whether it is evacuated from now on.
     pub fn zones(&self) -> impl Iterator<Item = (&ZoneId, bool)> {
         let begun = self.begun.iter().map(|zone| (zone, true));
         begun.chain(self.ended.iter().map(|zone| (zone, false)))
@@ -46,7 +44,7 @@
     }
 }
 
-/// All zones that are evacuated as of a version of the store.
+/// All zones that are evacuated as of a store version.
 ///
 /// # Example
 ///
@@ -54,8 +52,8 @@
 /// use chalkrock_routing::{Evacuations, StoreVersion};
 ///
 /// let mut known = Evacuations::as_of(StoreVersion(7), ["zone-a".into()]);
-/// let taken_back = Evacuations::as_of(StoreVersion(9), []);
-/// known.merge(&taken_back);
+/// let ended = Evacuations::as_of(StoreVersion(9), []);
+/// known.merge(&ended);
 /// let late = Evacuations::as_of(StoreVersion(8), ["zone-a".into()]);
 /// assert!(known.merge(&late).is_empty());
 /// assert!(!known.contains(&"zone-a".into()));
@@ -67,7 +65,7 @@
 }
 
 impl Evacuations {
-    /// The zones that the store names, as of a version.
+    /// Creates the state of a store version.
     pub fn as_of(version: StoreVersion, zones: impl IntoIterator<Item = ZoneId>) -> Self {
         Self {
             version,
@@ -80,18 +78,17 @@
         self.zones.contains(zone)
     }
 
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     pub fn zones(&self) -> &BTreeSet<ZoneId> {
         &self.zones
     }
 
-    /// The version up to which this is known.
+    /// The store version of this state.
     pub fn version(&self) -> StoreVersion {
         self.version
     }
 
-    /// Takes a state that was read or passed on, if it is newer. Returns what it
-    /// changes.
+    /// Adopts a state if it is newer. Returns what changed.
     pub fn merge(&mut self, other: &Evacuations) -> EvacuationChange {
         if other.version <= self.version {
             return EvacuationChange::default();
@@ -106,9 +103,9 @@
         change
     }
 
-    /// Takes a state that was read whole. If it is the first of a later era, the store
-    /// came back from a copy that may lack what operators wrote last: zones that were
-    /// evacuated stay so until they write about them again.
+    /// Adopts a full state from the store. The first state of a later era comes from
+    /// a restored backup, which may lack the latest writes of operators: evacuated
+    /// zones stay so until operators write about them again.
     pub fn read(&mut self, mut other: Evacuations) -> EvacuationChange {
         if other.version.era() > self.version.era() {
             other.zones.extend(self.zones.iter().cloned());
@@ -116,8 +113,8 @@
         self.merge(&other)
     }
 
-    /// Takes the rows of a part of the history, oldest first, that ends at
-    /// `until` and begins no later than what is known. Returns what they change.
+    /// Applies rows of the store's history, oldest first, that end at `until` and
+    /// begin no later than the known version. Returns what changed.
     pub fn follow(&mut self, rows: &[EvacuationRow], until: StoreVersion) -> EvacuationChange {
         let mut next = self.clone();
         for row in rows.iter().filter(|row| row.version > self.version) {
--- a/crates/routing/src/event_frames.rs
+++ b/crates/routing/src/event_frames.rs
@@ -1,21 +1,21 @@
-//! Cuts a stream of bytes into whole events and keeps their bytes unchanged.
+//! Splits a byte stream into whole server-sent events without changing their bytes.
 //!
-//! An event ends with an empty line. Libraries parse events into fields and
-//! drop the bytes; a relay has to pass on the endpoint's own bytes, and only
-//! whole events, so that another endpoint can go on after the last one.
+//! An event ends with an empty line. Parsing libraries return fields and drop the
+//! bytes; a proxy has to forward the endpoint's own bytes, and only whole events, so
+//! that another endpoint can resume after the last one.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// One event with its bytes, the empty line included.
+/// One event, the empty line included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventFrame {
-    /// The bytes as they came.
+    /// The bytes as received.
     pub bytes: Bytes,
     /// The event's `id`, if it is a number.
     pub id: Option<u64>,
 }
 
-/// Cuts bytes into events.
+/// Splits bytes into events.
 ///
 /// # Example
 ///
@@ -31,62 +31,62 @@
 #[derive(Clone, Debug, Default)]
 pub struct EventFrames {
     buffer: BytesMut,
-    /// Bytes that were searched for an end before.
-    searched: usize,
+    /// Bytes already searched for the end of an event.
+    searched_bytes: usize,
 }
 
 impl EventFrames {
-    /// Adds bytes as they arrive.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Removes and returns the next whole event, if there is one.
     #[expect(
         clippy::should_implement_trait,
         reason = "an event may follow after `None`"
     )]
     pub fn next(&mut self) -> Option<EventFrame> {
-        let end = self.end_of_event()?;
+        let end = self.find_event_end()?;
         let bytes = self.buffer.split_to(end).freeze();
-        self.searched = 0;
-        let id = id_of(&bytes);
+        self.searched_bytes = 0;
+        let id = parse_id(&bytes);
         Some(EventFrame { bytes, id })
     }
 
-    /// Bytes of an event that is not whole.
+    /// Bytes of an incomplete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Takes the bytes of an event that is not whole.
+    /// Removes and returns the bytes of an incomplete event.
     pub fn take_rest(&mut self) -> Bytes {
-        self.searched = 0;
+        self.searched_bytes = 0;
         let length = self.buffer.remaining();
         self.buffer.copy_to_bytes(length)
     }
 
-    /// The place after the first empty line.
-    fn end_of_event(&mut self) -> Option<usize> {
-        const LONGEST_END: usize = 3;
-        let from = self.searched.saturating_sub(LONGEST_END);
+    /// Index after the first empty line.
+    fn find_event_end(&mut self) -> Option<usize> {
+        const MAX_TERMINATOR_BYTES: usize = 3;
+        let start = self.searched_bytes.saturating_sub(MAX_TERMINATOR_BYTES);
         let bytes = &self.buffer[..];
-        for at in from..bytes.len() {
-            let rest = &bytes[at..];
-            if rest.starts_with(b"\n\n") {
-                return Some(at + 2);
+        for index in start..bytes.len() {
+            let tail = &bytes[index..];
+            if tail.starts_with(b"\n\n") {
+                return Some(index + 2);
             }
-            if rest.starts_with(b"\n\r\n") {
-                return Some(at + 3);
+            if tail.starts_with(b"\n\r\n") {
+                return Some(index + 3);
             }
         }
-        self.searched = bytes.len();
+        self.searched_bytes = bytes.len();
         None
     }
 }
 
-/// The number of an event's `id` field.
-fn id_of(event: &[u8]) -> Option<u64> {
+/// Parses an event's `id` field.
+fn parse_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
         .find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/routing/src/fingerprint.rs
+++ b/crates/routing/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes a request the same one when it comes again.
+//! Fingerprints that identify repeats of a request.
 
 use std::fmt;
 
@@ -6,12 +6,11 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// The same for a request and for all that repeat it: callers name each try
-/// anew, so that a request's id tells nothing of the tries before.
+/// Hash of a request's content, equal for all its repeats. Request ids don't serve
+/// for this, since callers give each attempt a new one.
 ///
-/// The hash is not a cryptographic one: it takes a tenth of a microsecond of each
-/// request. Its caller's organisation is part of it, so that whoever finds two
-/// bodies with one hash finds two of their own.
+/// The hash is fast and not cryptographic. It covers the caller's organisation, so
+/// that callers can only produce collisions among their own requests.
 ///
 /// # Example
 ///
@@ -33,29 +32,29 @@
 #[serde(transparent)]
 pub struct RequestFingerprint(pub u64);
 
-/// What of a request its repeats have in common.
+/// Content that repeats of a request have in common.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The host name that was asked for.
+    /// Requested host name.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Who asks.
+    /// The caller's organisation.
     pub organisation: Option<&'a OrganisationId>,
     /// The whole body.
     pub body: &'a [u8],
 }
 
 impl RequestFingerprint {
-    /// Hashes what repeats have in common.
+    /// Hashes the content of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let organisation = content.organisation.map_or("", OrganisationId::as_str);
         let names = [content.host, content.target, organisation];
         let mut hash = Xxh3::new();
-        for part in names.map(str::as_bytes).into_iter().chain([content.body]) {
-            // Its length keeps a part from running into the next.
-            hash.update(&(part.len() as u64).to_le_bytes());
-            hash.update(part);
+        for field in names.map(str::as_bytes).into_iter().chain([content.body]) {
+            // The length prefix keeps adjacent fields apart.
+            hash.update(&(field.len() as u64).to_le_bytes());
+            hash.update(field);
         }
         Self(hash.digest())
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decisions about one general request, free of I/O.
+//! Routing decisions for one request, free of I/O.
 //!
-//! A request here is anything that a route takes: a call of a plain service
-//! that may or may not be repeated, or a generation that streams. This crate
-//! says which route and organisation it belongs to ([`Rules`]), which
-//! endpoints may take it ([`EndpointTable`], [`Evacuations`]) and how many requests
-//! while they are cold ([`ColdEndpoints`]) or have asked for none ([`Backoffs`]), how loaded they are over the
-//! whole fleet ([`FleetLoad`]), which one it goes to ([`choose`]), what the end of an
-//! attempt allows next ([`next_step`]), whether a retry is paid for
-//! ([`WindowBudget`]), how a pool moves to another build ([`Rollouts`]) and what a
-//! host that is stopping still takes ([`DrainSchedule`]). Use it alone to drive these
-//! decisions from a simulator; use `chalkrock-gateway` to serve by them.
+//! A request is anything that a route matches: a call of a plain service, repeatable
+//! or not, or a streamed generation. This crate determines its route and organisation
+//! ([`Rules`]), which endpoints may receive it ([`EndpointTable`], [`Evacuations`])
+//! and at which rate while they are cold ([`ColdEndpoints`]) or after they back off
+//! ([`Backoffs`]), their load over the whole fleet ([`FleetLoad`]), the endpoint that
+//! receives it ([`choose`]), the next step after an attempt ([`next_step`]), whether
+//! a retry is within the budget ([`WindowBudget`]), how a pool moves to another build
+//! ([`Rollouts`]) and what a stopping host still accepts ([`DrainSchedule`]). Use it
+//! alone to drive these decisions from a simulator; use `chalkrock-gateway` to serve
+//! requests.
 //!
-//! Time is an argument, in milliseconds of any steady clock.
+//! Time is an argument, in milliseconds of a monotonic clock.
 //!
 //! # Example
 //!
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -1,75 +1,75 @@
-//! A route: which requests it takes, where they go and what they may cost.
+//! Routes: which requests they match, their pools and their limits.
 
 use std::sync::Arc;
 
 use chalkrock_core::PoolId;
 use serde::{Deserialize, Serialize};
 
-/// What a request of a route is, as far as repeating it goes.
+/// Whether requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// A call that may run more than once.
+    /// Calls that may run more than once.
     Safe,
-    /// A call that runs at most once.
+    /// Calls that run at most once.
     Unsafe,
-    /// A stream of numbered events.
+    /// Streams of numbered events.
     Stream {
-        /// Whether a new run may go on after the last event that arrived.
+        /// Whether a new run may continue after the last received event.
         resumable: bool,
     },
 }
 
-/// A pool among which a route's requests are divided.
+/// A pool that serves a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
     /// The pool.
     pub pool: PoolId,
-    /// Its share against the route's other pools.
+    /// Weight relative to the route's other pools.
     pub weight: u32,
 }
 
-/// Which requests go where, and within which bounds.
+/// Which requests go to which pools, and their limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
-    /// The host name that callers use.
+    /// Host name of the requests.
     pub host: Arc<str>,
-    /// What the path begins with; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: Arc<str>,
     /// The pools that serve it.
     pub backends: Vec<Backend>,
     /// Whether its requests may be repeated.
     pub kind: RouteKind,
-    /// The longest time that a request may be held.
+    /// Longest duration of a request.
     pub timeout_ms: u64,
-    /// The time within which an answer is in time.
+    /// Time within which an answer should arrive.
     pub objective_ms: u64,
-    /// Most endpoints that one request may be sent to.
+    /// Most endpoints that may receive one request.
     pub attempts_max: u32,
-    /// Its rank, 0 first.
+    /// Priority, 0 the most urgent.
     pub priority: u8,
     /// Whether callers need no key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// Whether the route takes a path.
+    /// Whether the route matches a path.
     pub fn takes(&self, path: &str) -> bool {
         path.starts_with(&*self.path_prefix)
     }
 
-    /// The pool of a draw, which is any number: equal draws give equal pools.
+    /// The pool for a draw, which may be any number; equal draws give equal pools.
     pub fn pool_of(&self, draw: u64) -> Option<&PoolId> {
         let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remainder = draw.checked_rem(total)?;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
-            if left < weight {
+            if remainder < weight {
                 return Some(&backend.pool);
             }
-            left -= weight;
+            remainder -= weight;
         }
         None
     }
--- a/crates/routing/src/rules.rs
+++ b/crates/routing/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules in force: routes, organisations and limits of one version.
+//! Routing rules: routes, organisations and limits of one version.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -9,7 +9,7 @@
 
 use crate::route::Route;
 
-/// The version of the rules. It only rises, by any step.
+/// Version of the rules. It only increases, by any amount.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -22,27 +22,27 @@
     }
 }
 
-/// An organisation and the keys of its callers.
+/// An organisation and its callers' keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrganisationRules {
     /// Its name.
     pub name: OrganisationId,
-    /// Its rank, 0 first. It goes before the rank of a route.
+    /// Priority, 0 the most urgent; compared before the priority of a route.
     pub priority: u8,
-    /// The keys that its callers may use.
+    /// Keys of its callers.
     pub keys: Vec<Arc<str>>,
 }
 
-/// What one caller's connection may send, and how long it may take.
+/// Limits on one caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head of a request.
+    /// Largest request head.
     pub head_max_bytes: usize,
-    /// Largest body of a request.
+    /// Largest request body.
     pub body_max_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Longest time for a request head to arrive.
     pub head_timeout_ms: u64,
-    /// Longest time that a kept connection may rest.
+    /// Longest idle time of a kept-alive connection.
     pub idle_timeout_ms: u64,
 }
 
@@ -57,25 +57,25 @@
     }
 }
 
-/// What the endpoints of a pool bear while they are cold.
+/// Rate that the endpoints of a pool sustain while they are cold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolRules {
     /// The pool.
     pub name: PoolId,
-    /// How long an endpoint is cold after a start, in milliseconds.
+    /// How long an endpoint is cold after a start.
     pub cold_start_ms: u64,
-    /// Requests that a cold endpoint bears in 1,000 seconds; 0 if any number.
+    /// Requests per 1,000 seconds that a cold endpoint sustains; 0 means unlimited.
     pub cold_per_1000_s: u32,
 }
 
 impl PoolRules {
-    /// Requests that a cold endpoint bears in a second; 0 if any number.
+    /// Requests per second that a cold endpoint sustains; 0 means unlimited.
     pub fn cold_per_s(&self) -> f64 {
         f64::from(self.cold_per_1000_s) / 1_000.0
     }
 }
 
-/// The rules of one version as they travel between hosts.
+/// The rules of one version, as exchanged between hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RulesDocument {
     /// The version.
@@ -86,30 +86,29 @@
     pub organisations: Vec<OrganisationRules>,
     /// Limits on callers.
     pub limits: CallerLimits,
-    /// Its pools, as far as their endpoints bear less while they are cold.
+    /// Pools whose endpoints have a limited rate while they are cold.
     pub pools: Vec<PoolRules>,
 }
 
 impl RulesDocument {
-    /// Its routes and organisations.
+    /// Number of routes and organisations.
     pub fn entries(&self) -> usize {
         self.routes.len() + self.organisations.len()
     }
 
-    /// Puts routes and organisations in the order of their names, which says
-    /// nothing: whoever writes documents may put new entries anywhere.
+    /// Sorts routes and organisations by name; documents may list them in any order.
     pub fn sort(&mut self) {
         self.routes.sort_by(|a, b| a.name.cmp(&b.name));
         self.organisations.sort_by(|a, b| a.name.cmp(&b.name));
     }
 }
 
-/// Whose key a caller showed.
+/// The organisation of a caller's key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// How far its rank is behind the first organisation's.
+    /// Its priority relative to the most urgent organisation.
     pub priority: u8,
 }
 
@@ -130,7 +129,7 @@
     /// Routes by host name, the longest path prefix first.
     by_host: HashMap<Arc<str>, Vec<Arc<Route>>>,
     by_key: HashMap<Arc<str>, Caller>,
-    /// The shortest objective of each rank, by pool.
+    /// Shortest objective in milliseconds by pool and priority.
     objectives: HashMap<PoolId, BTreeMap<u8, u64>>,
 }
 
@@ -139,19 +138,19 @@
     pub fn new(document: RulesDocument) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in &document.routes {
-            let of_host = by_host.entry(route.host.clone()).or_default();
-            of_host.push(Arc::new(route.clone()));
+            let host_routes = by_host.entry(route.host.clone()).or_default();
+            host_routes.push(Arc::new(route.clone()));
         }
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         let mut by_key = HashMap::new();
         let ranks = document.organisations.iter().map(|o| o.priority);
-        let first = ranks.min().unwrap_or_default();
+        let min_priority = ranks.min().unwrap_or_default();
         for organisation in &document.organisations {
             let caller = Caller {
                 organisation: organisation.name.clone(),
-                priority: organisation.priority - first,
+                priority: organisation.priority - min_priority,
             };
             let keys = organisation.keys.iter().cloned();
             by_key.extend(keys.map(|key| (key, caller.clone())));
@@ -159,8 +158,8 @@
         let mut objectives: HashMap<PoolId, BTreeMap<u8, u64>> = HashMap::new();
         for route in &document.routes {
             for backend in route.backends.iter().filter(|backend| backend.weight > 0) {
-                let of_pool = objectives.entry(backend.pool.clone()).or_default();
-                let shortest = of_pool.entry(route.priority).or_insert(u64::MAX);
+                let pool_objectives = objectives.entry(backend.pool.clone()).or_default();
+                let shortest = pool_objectives.entry(route.priority).or_insert(u64::MAX);
                 *shortest = route.objective_ms.min(*shortest);
             }
         }
@@ -172,12 +171,12 @@
         }
     }
 
-    /// The version in force.
+    /// The version of the rules.
     pub fn version(&self) -> RulesVersion {
         self.document.version
     }
 
-    /// The document, to pass on.
+    /// The document that was indexed.
     pub fn document(&self) -> &Arc<RulesDocument> {
         &self.document
     }
@@ -187,30 +186,28 @@
         &self.document.limits
     }
 
-    /// The route of a host name and a path: of those that take the path, the
-    /// one with the longest prefix.
+    /// The route with the longest matching path prefix on a host name.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
         routes.iter().find(|route| route.takes(path))
     }
 
-    /// The objective by which a route's requests are taken into an overrun
-    /// pool: its own, or a shorter one of a rank there that goes before it. With
-    /// its own alone, a route with time to spare would be served while a more
-    /// urgent one is refused.
+    /// Objective for admission to an overloaded pool: the route's own, or a shorter
+    /// one of a more urgent route there. With its own alone, a route with a long
+    /// objective would be admitted while a more urgent one is rejected.
     pub fn admission_objective_ms(&self, pool: &PoolId, route: &Route) -> u64 {
-        let of_pool = self.objectives.get(pool).into_iter();
-        let as_urgent = of_pool.flat_map(|ranks| ranks.range(..route.priority));
-        let shortest = as_urgent.map(|(_, objective_ms)| *objective_ms).min();
+        let pool_objectives = self.objectives.get(pool).into_iter();
+        let more_urgent = pool_objectives.flat_map(|ranks| ranks.range(..route.priority));
+        let shortest = more_urgent.map(|(_, objective_ms)| *objective_ms).min();
         shortest.map_or(route.objective_ms, |ms| ms.min(route.objective_ms))
     }
 
-    /// Whether callers must show a key on routes that are not public.
+    /// Whether callers need a key on routes that are not public.
     pub fn needs_key(&self) -> bool {
         !self.document.organisations.is_empty()
     }
 
-    /// Whose key it is.
+    /// The caller that a key belongs to.
     pub fn caller(&self, key: &str) -> Option<&Caller> {
         self.by_key.get(key)
     }
--- a/crates/routing/src/rules_change.rs
+++ b/crates/routing/src/rules_change.rs
@@ -1,7 +1,7 @@
-//! What one version of the rules changes of another, and the last such changes.
+//! Differences between versions of the rules.
 //!
-//! A version of thousands of routes mostly differs from the one before it in a
-//! few, or in none. Hosts that have the one before take the difference.
+//! Most versions change few entries of a large document, so hosts that have the
+//! previous version fetch only the difference.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::Hash;
@@ -13,11 +13,11 @@
 use crate::route::Route;
 use crate::rules::{CallerLimits, OrganisationRules, PoolRules, RulesDocument, RulesVersion};
 
-/// Changes that a host keeps for others: a host that is further behind takes
-/// the whole document.
-const CHANGES_MAX: usize = 8;
+/// Changes kept for other hosts; a host that is further behind fetches the whole
+/// document.
+const MAX_CHANGES: usize = 8;
 
-/// What one version of the rules changes of another.
+/// Difference between two versions of the rules.
 ///
 /// # Example
 ///
@@ -40,8 +40,8 @@
 }
 
 impl RulesChange {
-    /// What changes from one document to another. `None` if the entries of
-    /// either are not in the order of their names, or two share one.
+    /// Computes the difference. `None` if the entries of either document are not
+    /// sorted by name, or two share a name.
     pub fn between(old: &RulesDocument, new: &RulesDocument) -> Option<Self> {
         Some(Self {
             from: old.version,
@@ -53,8 +53,8 @@
         })
     }
 
-    /// The document that this makes of the one it was taken from, in the order of
-    /// names; `None` for one of another version.
+    /// Applies the difference to the version that it starts from, sorted by name;
+    /// `None` for another version.
     pub fn apply(&self, old: &RulesDocument) -> Option<RulesDocument> {
         (old.version == self.from).then(|| RulesDocument {
             version: self.to,
@@ -65,27 +65,26 @@
         })
     }
 
-    /// Entries that it names.
+    /// Number of changed entries.
     pub fn entries(&self) -> usize {
         self.routes.entries() + self.organisations.entries()
     }
 }
 
-/// The last changes of a host's rules, oldest first, each from the version to
-/// which the one before it leads.
+/// The latest changes of a host's rules, oldest first and without gaps.
 #[derive(Debug, Default)]
 pub struct RulesHistory(VecDeque<Arc<RulesChange>>);
 
 impl RulesHistory {
-    /// Rules came into force by a change, and have so many entries. Changes that
-    /// name more together are not kept: the whole is less to pass on, and an
-    /// operator who rewrites all routes each time would fill the memory.
+    /// Adds the change to the current rules. Drops the oldest changes while together
+    /// they have more than `entries_max` entries: the whole document is smaller, and
+    /// memory stays bounded.
     pub fn push(&mut self, change: Arc<RulesChange>, entries_max: usize) {
         if self.0.back().is_some_and(|last| last.to != change.from) {
             self.0.clear();
         }
         self.0.push_back(change);
-        while self.0.len() > CHANGES_MAX || self.entries() > entries_max {
+        while self.0.len() > MAX_CHANGES || self.entries() > entries_max {
             self.0.pop_front();
         }
     }
@@ -94,20 +93,19 @@
         self.0.iter().map(|change| change.entries()).sum()
     }
 
-    /// Rules came into force by a document from which no change is known.
+    /// Drops all changes, when the change to the current rules is unknown.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// The changes that lead from a version to the newest; `None` if they are
-    /// not all known.
+    /// Changes from a version to the newest; `None` if some are missing.
     pub fn since(&self, version: RulesVersion) -> Option<Vec<Arc<RulesChange>>> {
         let first = self.0.iter().position(|change| change.from == version)?;
         Some(self.0.range(first..).cloned().collect())
     }
 }
 
-/// An entry of a list in which no two share a name.
+/// An entry of a list with unique names.
 trait Named: Clone + PartialEq {
     type Name: Clone + Hash + Ord;
 
@@ -130,30 +128,30 @@
     }
 }
 
-/// What changes in a list of named entries.
+/// Difference between two lists of named entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(bound(
     serialize = "E: Serialize, E::Name: Serialize",
     deserialize = "E: Deserialize<'de>, E::Name: Deserialize<'de>"
 ))]
 struct NamedChanges<E: Named> {
-    /// Entries that are new or changed.
+    /// New or changed entries.
     put: Vec<E>,
     gone: Vec<E::Name>,
 }
 
 impl<E: Named> NamedChanges<E> {
     fn between(old: &[E], new: &[E]) -> Option<Self> {
-        if !is_in_order(old) || !is_in_order(new) {
+        if !is_sorted_by_name(old) || !is_sorted_by_name(new) {
             return None;
         }
-        let before: HashMap<&E::Name, &E> = names(old).zip(old).collect();
+        let old_by_name: HashMap<&E::Name, &E> = names(old).zip(old).collect();
         let kept: HashSet<&E::Name> = names(new).collect();
-        let is_put = |entry: &&E| before.get(entry.name()) != Some(entry);
-        let is_gone = |name: &&E::Name| !kept.contains(name);
+        let is_changed = |entry: &&E| old_by_name.get(entry.name()) != Some(entry);
+        let is_removed = |name: &&E::Name| !kept.contains(name);
         Some(Self {
-            put: new.iter().filter(is_put).cloned().collect(),
-            gone: names(old).filter(is_gone).cloned().collect(),
+            put: new.iter().filter(is_changed).cloned().collect(),
+            gone: names(old).filter(is_removed).cloned().collect(),
         })
     }
 
@@ -170,8 +168,8 @@
     }
 }
 
-/// Whether entries are in the order of their names, and no two share one.
-fn is_in_order<E: Named>(entries: &[E]) -> bool {
+/// Whether entries are sorted by name and no two share one.
+fn is_sorted_by_name<E: Named>(entries: &[E]) -> bool {
     entries.is_sorted_by(|a, b| a.name() < b.name())
 }
 
--- a/crates/routing/src/shares.rs
+++ b/crates/routing/src/shares.rs
@@ -1,13 +1,13 @@
-//! Which organisations have more than their share in progress on a host.
+//! Detects organisations that exceed their share of the requests on a host.
 
 use std::collections::HashMap;
 
 use chalkrock_core::OrganisationId;
 
-/// An organisation is over its share with this many times the equal one.
-const EQUAL_SHARES: usize = 2;
-/// So few requests are never over a share.
-const ALWAYS_WITHIN: usize = 4;
+/// Multiple of an equal share that an organisation may use.
+const MAX_EQUAL_SHARES: usize = 2;
+/// Number of requests that is always within a share.
+const MIN_SHARE_REQUESTS: usize = 4;
 
 /// Requests in progress by organisation.
 ///
@@ -24,13 +24,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
-    /// Organisations with no request in progress are not listed.
+    /// Only organisations with requests in progress.
     by_organisation: HashMap<OrganisationId, usize>,
     total: usize,
 }
 
 impl Shares {
-    /// A request of an organisation begins.
+    /// Counts a request that begins.
     pub fn begin(&mut self, organisation: &OrganisationId) {
         *self
             .by_organisation
@@ -39,7 +39,7 @@
         self.total += 1;
     }
 
-    /// A request of an organisation ends.
+    /// Counts a request that ends.
     pub fn end(&mut self, organisation: &OrganisationId) {
         let Some(count) = self.by_organisation.get_mut(organisation) else {
             return;
@@ -51,11 +51,12 @@
         }
     }
 
-    /// Whether an organisation has more than its share.
+    /// Whether an organisation exceeds its share.
     pub fn is_over(&self, organisation: &OrganisationId) -> bool {
-        let own = self.by_organisation.get(organisation).copied();
-        let own = own.unwrap_or_default();
-        let sharing = self.by_organisation.len();
-        own > ALWAYS_WITHIN && own * sharing > EQUAL_SHARES * self.total
+        let in_progress = self.by_organisation.get(organisation).copied();
+        let in_progress = in_progress.unwrap_or_default();
+        let organisations = self.by_organisation.len();
+        in_progress > MIN_SHARE_REQUESTS
+            && in_progress * organisations > MAX_EQUAL_SHARES * self.total
     }
 }
--- a/crates/routing/src/store_version.rs
+++ b/crates/routing/src/store_version.rs
@@ -1,17 +1,15 @@
-//! Places in the history of the platform's store.
+//! Versions of the store.
 
 use serde::{Deserialize, Serialize};
 
-/// Bits of a version that are the store's own number: a million changes a second for
-/// nine years.
+/// Low bits of a version that hold the store's own number.
 const NUMBER_BITS: u32 = 48;
 
-/// A place in the platform's history.
+/// A position in the history of the store.
 ///
-/// A store that comes back from a copy gives versions out again that it had given out
-/// before. How often it did is the era, which stands in the high bits: so what is
-/// known of a later era goes before all of an earlier one wherever versions are compared,
-/// and hosts need tell each other no more than a number.
+/// A store that is restored from a backup reuses numbers. The era counts the restores
+/// and takes the high bits, so that any version of a later era compares greater than
+/// all earlier ones, and hosts exchange a single number.
 ///
 /// # Example
 ///
@@ -28,20 +26,20 @@
 pub struct StoreVersion(pub u64);
 
 impl StoreVersion {
-    /// The largest number that a version can hold: no store gets so far.
+    /// Largest number that a version can hold.
     pub const LAST_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 
-    /// The version of a number in an era.
+    /// Creates the version of a number in an era.
     pub fn of_era(era: u64, number: u64) -> Self {
         Self(era << NUMBER_BITS | number)
     }
 
-    /// How often the store had come back from a copy.
+    /// Number of times that the store was restored from a backup.
     pub fn era(self) -> u64 {
         self.0 >> NUMBER_BITS
     }
 
-    /// The number that the store itself gave.
+    /// Number that the store assigned.
     pub fn number(self) -> u64 {
         self.0 & Self::LAST_NUMBER
     }
