--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,15 +1,14 @@
 //! A host's share of the fleet's retry budget, over a sliding window.
 //!
-//! The operator limits retries over all hosts to a ratio of the requests plus a fixed
+//! The operator limits retries over all hosts to a ratio of the requests plus a
 //! slack. Each host spends the ratio of its own requests and an equal share of the
-//! slack, so that hosts stay within the limit without coordination.
+//! slack.
 
 use std::collections::VecDeque;
 
 /// Buckets per window.
 const BUCKETS: u64 = 10;
-/// Fraction of the limit that is spent, since hosts may disagree on how many are
-/// live.
+/// Fraction of the limit that is spent; hosts may disagree on how many are live.
 const USABLE_FRACTION: f64 = 0.8;
 
 /// The operator's limit on retries.
@@ -25,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    index: u64,
+    number: u64,
     requests: u32,
     retries: u32,
 }
@@ -86,21 +85,17 @@
     /// Returns the current bucket and drops those that have left the window.
     fn current_bucket(&mut self, now_ms: u64) -> &mut Bucket {
         let length_ms = (self.rules.window_ms / BUCKETS).max(1);
-        let index = now_ms / length_ms;
+        let number = now_ms / length_ms;
         while self
             .buckets
             .front()
-            .is_some_and(|bucket| bucket.index + BUCKETS < index)
+            .is_some_and(|bucket| bucket.number + BUCKETS < number)
         {
             self.buckets.pop_front();
         }
-        if self
-            .buckets
-            .back()
-            .is_none_or(|bucket| bucket.index < index)
-        {
+        if self.buckets.back().is_none_or(|last| last.number < number) {
             self.buckets.push_back(Bucket {
-                index,
+                number,
                 ..Bucket::default()
             });
         }
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -1,17 +1,15 @@
-//! Limits requests to cold endpoints, which are slow for some seconds after a start
-//! and easily overloaded.
+//! Limits requests to cold endpoints, which are slow and easily overloaded after a
+//! start.
 //!
-//! A cold endpoint sustains a low rate of requests over the whole fleet, and each
-//! host sees only its own. Without coordination, rendezvous hashing selects a few
-//! hosts of the endpoint's own availability zone, which send with a minimum gap
-//! between requests; all others send none. [`ColdShare`] sizes the number of senders
-//! and the gap so that the limit holds in any second, even if hosts with an
-//! incomplete view add a few senders.
+//! A few hosts of the endpoint's availability zone, selected by rendezvous hashing,
+//! send to it with a minimum gap between requests; all others send none.
+//! [`ColdShare`] sizes their number and the gap so that the fleet-wide limit holds in
+//! any second without coordination, even if hosts with an incomplete view add a few
+//! senders.
 //!
 //! Senders are selected from all hosts of the zone that were seen in the last two
-//! minutes, silent ones included: the share of an isolated or suspended host stays
-//! unused, since it might still send. A host that has just started, or sees no other,
-//! sends none.
+//! minutes. The share of an isolated or suspended host stays unused, since it might
+//! still send. A host that has just started, or sees no other, sends none.
 
 use std::collections::HashMap;
 
@@ -52,13 +50,12 @@
 const MIN_RATE_FRACTION: f64 = 0.75;
 
 impl ColdShare {
-    /// Sizes the share for an endpoint with this sustained rate, in a zone of `hosts`
-    /// hosts.
+    /// Sizes the share for an endpoint with this sustained rate, in a zone of
+    /// `hosts`.
     ///
-    /// Uses as many senders as preserve nearly the best total rate, since more
-    /// senders let more requests reach the endpoint that caches their prefix. The
-    /// limit is divided into whole requests per second, extra senders included, so
-    /// that it holds in any second.
+    /// Uses as many senders as preserve nearly the best total rate: with more
+    /// senders, more requests reach the endpoint that caches their prefix. Whole
+    /// requests per second, extra senders included, keep to the limit in any second.
     ///
     /// # Example
     ///
@@ -101,7 +98,7 @@
 
 /// State of an endpoint that may be cold.
 #[derive(Clone, Copy, Debug, Default)]
-struct Cold {
+struct ColdState {
     /// End of the cold period that the endpoint reported.
     reported_until_ms: u64,
     /// End of the presumed cold period of an endpoint that has not reported one.
@@ -109,7 +106,7 @@
     sent_at_ms: Option<u64>,
 }
 
-impl Cold {
+impl ColdState {
     fn until_ms(&self) -> u64 {
         self.reported_until_ms.max(self.presumed_until_ms)
     }
@@ -127,9 +124,9 @@
 /// use chalkrock_core::rendezvous::MemberHash;
 /// use chalkrock_routing::{ColdBound, ColdEndpoints};
 ///
-/// let local_host = MemberHash::of("host-1");
+/// let local = MemberHash::of("host-1");
 /// let mut cold = ColdEndpoints::new(Some(ColdBound { overshoot: 1.5, slack: 5.0 }));
-/// cold.set_hosts(local_host, vec![local_host], false);
+/// cold.set_hosts(local, vec![local], false);
 /// cold.told(7, 3_000, 0);
 /// assert!(cold.may_send(7, 2.0, true, 0));
 /// cold.sent(7, 0);
@@ -140,13 +137,12 @@
 pub struct ColdEndpoints {
     /// `None` if operators set no limit; then requests are not limited.
     bound: Option<ColdBound>,
-    /// Known hosts of this host's zone, itself included; empty while it must not
-    /// send.
+    /// Known hosts of the local zone; empty while this host must not send.
     hosts: Vec<MemberHash>,
     /// Minimum zone size for which this host's share is sized.
     min_hosts: usize,
-    local_host: Option<MemberHash>,
-    endpoints: HashMap<u32, Cold>,
+    local: Option<MemberHash>,
+    endpoints: HashMap<u32, ColdState>,
 }
 
 impl ColdEndpoints {
@@ -163,11 +159,10 @@
         self.bound = bound;
     }
 
-    /// Replaces the hosts of this host's zone, itself included, from which senders
-    /// are selected; empty while this host must not send. A host that `is_new` may
-    /// not know all of them yet.
-    pub fn set_hosts(&mut self, local_host: MemberHash, hosts: Vec<MemberHash>, is_new: bool) {
-        self.local_host = Some(local_host);
+    /// Replaces the known hosts of the local zone, this host included; empty while it
+    /// must not send. A host that `is_new` may not know all of them.
+    pub fn set_hosts(&mut self, local: MemberHash, hosts: Vec<MemberHash>, is_new: bool) {
+        self.local = Some(local);
         self.min_hosts = if is_new { MIN_ASSUMED_HOSTS } else { 1 };
         self.hosts = hosts;
     }
@@ -269,14 +264,11 @@
 
     /// Whether this host ranks among the first `senders` of its zone for an endpoint.
     fn is_sender(&self, endpoint: u32, senders: usize) -> bool {
-        let Some(local_host) = self
-            .local_host
-            .filter(|local_host| self.hosts.contains(local_host))
-        else {
+        let Some(local) = self.local.filter(|local| self.hosts.contains(local)) else {
             return false;
         };
         let rank = |host: MemberHash| score(KeyHash(u64::from(endpoint)), host, 1.0);
-        let local_rank = rank(local_host);
+        let local_rank = rank(local);
         let before = self.hosts.iter().filter(|host| rank(**host) > local_rank);
         before.count() < senders
     }
--- a/crates/routing/src/shares.rs
+++ b/crates/routing/src/shares.rs
@@ -7,7 +7,7 @@
 /// Multiple of an equal share that an organisation may use.
 const MAX_EQUAL_SHARES: usize = 2;
 /// Number of requests that is always within a share.
-const MIN_SHARE_REQUESTS: usize = 4;
+const MIN_SHARE: usize = 4;
 
 /// Requests in progress by organisation.
 ///
@@ -56,7 +56,6 @@
         let in_progress = self.by_organisation.get(organisation).copied();
         let in_progress = in_progress.unwrap_or_default();
         let organisations = self.by_organisation.len();
-        in_progress > MIN_SHARE_REQUESTS
-            && in_progress * organisations > MAX_EQUAL_SHARES * self.total
+        in_progress > MIN_SHARE && in_progress * organisations > MAX_EQUAL_SHARES * self.total
     }
 }
