--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -104,7 +104,7 @@
 impl PoolOccupancy {
     /// Expected wait of a new request for a slot, in milliseconds.
     pub fn wait_ms(&self) -> f64 {
-        if self.in_progress <= self.places {
+        if self.in_progress <= self.slots {
             return 0.0;
         }
         let excess = f64::from(self.in_progress - self.places);
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -17,7 +17,7 @@
 
 use chalkrock_core::Endpoint;
 
-use crate::endpoints::Member;
+use crate::endpoints::PoolMember;
 
 /// Longest backoff that is honoured; an endpoint that needs longer asks again.
 pub const BACKOFF_MAX_MS: u64 = 3_600_000;
@@ -77,7 +77,7 @@
 /// use chalkrock_core::{
 ///     BuildVersion, Endpoint, EndpointKind, HostState, Incarnation,
 /// };
-/// use chalkrock_routing::{Backoffs, Member};
+/// use chalkrock_routing::{Backoffs, PoolMember};
 ///
 /// let endpoint = Endpoint {
 ///     name: "engine-1".into(),
@@ -90,7 +90,7 @@
 ///     state: HostState::Live,
 ///     build: BuildVersion::default(),
 /// };
-/// let member = Member {
+/// let member = PoolMember {
 ///     hash: endpoint.start_hash(),
 ///     endpoint: Arc::new(endpoint),
 ///     is_evacuated: false,
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -195,7 +195,7 @@
 
     /// Whether an endpoint is treated as cold.
     pub fn is_cold(&self, endpoint: u32, now_ms: u64) -> bool {
-        self.left_ms(endpoint, now_ms) > 0
+        self.remaining_ms(endpoint, now_ms) > 0
     }
 
     /// Remaining time for which an endpoint is treated as cold, in milliseconds.
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -43,7 +43,7 @@
 
 /// An endpoint of a pool.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct PoolMember {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     /// Hash of its start, for ranking and reports.
@@ -76,7 +76,7 @@
         }
     }
 
-    fn takes_work(&self) -> bool {
+    fn accepts_work(&self) -> bool {
         matches!(self.state(), EndpointState::Live | EndpointState::Lapsed)
     }
 
@@ -130,7 +130,11 @@
     /// Replaces the whole list; endpoints missing from it become unlisted.
     pub fn replace(&mut self, endpoints: Vec<Endpoint>, now_ms: u64) {
         let keeps_lapsed = self.keeps_lapsed;
-        for known in self.known.values_mut().filter(|known| known.is_listed) {
+        for known in self
+            .known_members
+            .values_mut()
+            .filter(|known| known.is_listed)
+        {
             known.unlist(keeps_lapsed, now_ms);
         }
         for endpoint in endpoints {
@@ -142,7 +146,7 @@
 
     /// Returns an endpoint of an older list, or the known start if that is later.
     pub fn later_start(&self, listed: Endpoint) -> Endpoint {
-        let known = self.known.get(&listed.name);
+        let known = self.known_members.get(&listed.name);
         let known = known.map(|known| &*known.member.endpoint);
         let later = known.filter(|known| known.incarnation > listed.incarnation);
         later.cloned().unwrap_or(listed)
@@ -156,7 +160,7 @@
 
     /// Unlists an endpoint.
     pub fn remove(&mut self, name: &EndpointId, now_ms: u64) {
-        if let Some(known) = self.known.get_mut(name) {
+        if let Some(known) = self.known_members.get_mut(name) {
             known.unlist(self.keeps_lapsed, now_ms);
         }
         self.drop_expired(now_ms);
@@ -165,7 +169,7 @@
 
     /// Unlists an endpoint whose entry is invalid, without keeping it as lapsed.
     pub fn discard(&mut self, name: &EndpointId, now_ms: u64) {
-        if let Some(known) = self.known.get_mut(name) {
+        if let Some(known) = self.known_members.get_mut(name) {
             known.unlist(false, now_ms);
         }
         self.rebuild();
@@ -179,7 +183,7 @@
         if keeps_lapsed {
             return;
         }
-        for known in self.known.values_mut() {
+        for known in self.known_members.values_mut() {
             known.is_lapsed = false;
         }
         self.rebuild();
@@ -188,7 +192,7 @@
     /// Replaces the set of evacuated zones, whose endpoints accept no new work.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneId>) {
         self.evacuated = zones;
-        for known in self.known.values_mut() {
+        for known in self.known_members.values_mut() {
             let member = &mut known.member;
             member.is_evacuated = self.evacuated.contains(&member.endpoint.zone);
         }
@@ -211,7 +215,7 @@
             self.leaving_starts.insert(*start, leaving);
         }
         let mut marked = Vec::new();
-        for known in self.known.values_mut() {
+        for known in self.known_members.values_mut() {
             let start = known.member.hash.short();
             let Some(leaving) = self.leaving_starts.get_mut(&start) else {
                 continue;
@@ -233,7 +237,7 @@
     /// Drops starts that left long ago. Returns those that had an entry.
     pub fn expire_leaving(&mut self, now_ms: u64) -> Vec<Arc<Endpoint>> {
         let mut forgotten = Vec::new();
-        let known = &self.known;
+        let known = &self.known_members;
         self.leaving_starts.retain(|start, leaving| {
             let entry = leaving.endpoint.as_ref();
             let entry = entry.and_then(|endpoint| known.get(&endpoint.name));
@@ -270,7 +274,7 @@
         let known = self.known.get(&endpoint.name);
         known.is_some_and(|known| {
             let is_same_start = known.member.endpoint.incarnation == endpoint.incarnation;
-            is_same_start && known.takes_work()
+            is_same_start && known.accepts_work()
         })
     }
 
@@ -292,7 +296,7 @@
 
     /// Short hashes of leaving endpoints that are listed or lapsed.
     pub fn leaving(&self) -> Vec<u32> {
-        let leaving = self.known.values().filter(|known| {
+        let leaving = self.known_members.values().filter(|known| {
             known.state() == EndpointState::Leaving && (known.is_listed || known.is_lapsed)
         });
         leaving.map(|known| known.member.hash.short()).collect()
@@ -321,12 +325,12 @@
 
     /// Short hashes of the listed endpoints.
     pub fn listed_hashes(&self) -> HashSet<u32> {
-        let listed = self.known.values().filter(|known| known.is_listed);
+        let listed = self.known_members.values().filter(|known| known.is_listed);
         listed.map(|known| known.member.hash.short()).collect()
     }
 
     fn merge(&mut self, mut endpoint: Endpoint) {
-        let known = self.known.get(&endpoint.name);
+        let known = self.known_members.get(&endpoint.name);
         let known = known.map(|known| &*known.member.endpoint);
         if let Some(known) = known.filter(|known| known.incarnation == endpoint.incarnation) {
             endpoint.state = endpoint.state.max(known.state);
@@ -354,7 +358,8 @@
             is_lapsed: false,
             unlisted_at_ms: 0,
         };
-        self.known.insert(known.member.endpoint.name.clone(), known);
+        self.known_members
+            .insert(known.member.endpoint.name.clone(), known);
     }
 
     fn drop_expired(&mut self, now_ms: u64) {
@@ -370,7 +375,7 @@
         } else {
             self.by_pool(KnownEndpoint::is_serving)
         };
-        self.parting =
+        self.leaving_members =
             self.by_pool(|known| known.state() == EndpointState::Leaving && known.is_listed);
     }
 
--- a/crates/routing/src/rules.rs
+++ b/crates/routing/src/rules.rs
@@ -189,7 +189,7 @@
     /// The route with the longest matching path prefix on a host name.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
-        routes.iter().find(|route| route.takes(path))
+        routes.iter().find(|route| route.matches(path))
     }
 
     /// Objective for admission to an overloaded pool: the route's own, or a shorter
--- a/crates/routing/src/store_version.rs
+++ b/crates/routing/src/store_version.rs
@@ -16,8 +16,8 @@
 /// ```
 /// use chalkrock_routing::StoreVersion;
 ///
-/// let before = StoreVersion::of_era(1, 900);
-/// let after = StoreVersion::of_era(2, 700);
+/// let before = StoreVersion::in_era(1, 900);
+/// let after = StoreVersion::in_era(2, 700);
 /// assert!(after > before);
 /// assert_eq!((after.era(), after.number()), (2, 700));
 /// ```
@@ -41,6 +41,6 @@
 
     /// Number that the store assigned.
     pub fn number(self) -> u64 {
-        self.0 & Self::LAST_NUMBER
+        self.0 & Self::MAX_NUMBER
     }
 }
