--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -39,10 +39,10 @@
 
 impl ServiceTimeEwma {
     /// Adds the service time of a completed request.
-    pub fn record(&mut self, stayed_ms: u64) {
-        let stayed_ms = stayed_ms as f64;
-        let mean = self.0.get_or_insert(stayed_ms);
-        *mean += SAMPLE_WEIGHT * (stayed_ms - *mean);
+    pub fn record(&mut self, service_ms: u64) {
+        let service_ms = service_ms as f64;
+        let mean = self.0.get_or_insert(service_ms);
+        *mean += SAMPLE_WEIGHT * (service_ms - *mean);
     }
 
     /// Mean in milliseconds, 0 before the first sample.
@@ -53,7 +53,7 @@
 
 /// The longest recent service time, over the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LongestStay {
+pub struct MaxServiceTime {
     /// Index of the current window.
     window: u64,
     current_ms: u64,
@@ -63,11 +63,11 @@
 /// Length of one window.
 const WINDOW_MS: u64 = 30_000;
 
-impl LongestStay {
+impl MaxServiceTime {
     /// Adds the service time of a request.
-    pub fn record(&mut self, stayed_ms: u64, now_ms: u64) {
+    pub fn record(&mut self, service_ms: u64, now_ms: u64) {
         self.advance(now_ms);
-        self.current_ms = self.current_ms.max(stayed_ms);
+        self.current_ms = self.current_ms.max(service_ms);
     }
 
     /// Longest service time of the last 30 to 60 s, in milliseconds.
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolOccupancy {
     /// Requests that the endpoints accepting work can process at once.
-    pub places: u32,
+    pub slots: u32,
     /// Requests in progress on them, over the fleet.
     pub in_progress: u32,
     /// Mean service time, in milliseconds.
@@ -107,7 +107,7 @@
         if self.in_progress <= self.slots {
             return 0.0;
         }
-        let excess = f64::from(self.in_progress - self.places);
+        let excess = f64::from(self.in_progress - self.slots);
         self.service_ms * excess / f64::from(self.in_progress)
     }
 }
@@ -140,7 +140,7 @@
 /// use chalkrock_routing::{PoolOccupancy, AdmissionRequest, admits};
 ///
 /// let request = AdmissionRequest { rank: 0, objective_ms: 400, is_over_share: false };
-/// let full = PoolOccupancy { places: 64, in_progress: 64, service_ms: 1_000.0 };
+/// let full = PoolOccupancy { slots: 64, in_progress: 64, service_ms: 1_000.0 };
 /// assert!(admits(&full, &request, 0.99));
 /// let overrun = PoolOccupancy { in_progress: 128, ..full };
 /// assert!(!admits(&overrun, &request, 0.0));
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Endpoints that asked this host to back off.
+//! Endpoints that record_request this host to back off.
 //!
 //! A rejection may state for how long the endpoint wants no requests. The backoff
 //! holds between that endpoint and this host, for all routes and organisations. It is
@@ -66,7 +66,7 @@
     }
 }
 
-/// The endpoints that asked one host to back off.
+/// The endpoints that record_request one host to back off.
 ///
 /// # Example
 ///
@@ -97,7 +97,7 @@
 /// };
 /// let start = member.hash.short();
 /// let mut backoffs = Backoffs::default();
-/// backoffs.asked(&member, 3_000, 0.0, 100);
+/// backoffs.record_request(&member, 3_000, 0.0, 100);
 /// assert!(backoffs.is_active(start, 3_099));
 /// assert!(!backoffs.is_active(start, 4_000));
 /// ```
@@ -108,9 +108,9 @@
 
 impl Backoffs {
     /// Records a request to back off; `draw`, from 0 up to 1, sets the jitter.
-    pub fn asked(
+    pub fn record_request(
         &mut self,
-        member: &Member,
+        member: &PoolMember,
         requested_ms: u64,
         draw: f64,
         now_ms: u64,
@@ -153,7 +153,7 @@
     }
 
     /// Remaining backoff of an endpoint, in milliseconds.
-    pub fn left_ms(&self, start: u32, now_ms: u64) -> u64 {
+    pub fn remaining_ms(&self, start: u32, now_ms: u64) -> u64 {
         let backoff = self.by_start.get(&start);
         backoff.map_or(0, |backoff| backoff.until_ms.saturating_sub(now_ms))
     }
@@ -172,7 +172,7 @@
     }
 
     /// Records that a request is sent to an endpoint.
-    pub fn sent(&mut self, start: u32, now_ms: u64) {
+    pub fn record_sent(&mut self, start: u32, now_ms: u64) {
         let backoff = self.by_start.get_mut(&start);
         if let Some(backoff) = backoff.filter(|backoff| backoff.is_ramping_up(now_ms)) {
             backoff.sent += 1;
@@ -180,7 +180,7 @@
     }
 
     /// Records that an endpoint accepted a request.
-    pub fn answered(&mut self, start: u32, now_ms: u64) {
+    pub fn record_answered(&mut self, start: u32, now_ms: u64) {
         let backoff = self.by_start.get_mut(&start);
         if let Some(backoff) = backoff.filter(|backoff| backoff.is_ramping_up(now_ms)) {
             backoff.is_answered = true;
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -38,9 +38,9 @@
 ///
 /// let rules = BudgetRules { ratio: 0.2, slack: 0.0, window_ms: 10_000 };
 /// let mut budget = WindowBudget::new(rules);
-/// (0..10).for_each(|_| budget.request(0));
-/// assert!(budget.take(0, 1));
-/// assert!(!budget.take(0, 1));
+/// (0..10).for_each(|_| budget.record_request(0));
+/// assert!(budget.try_spend(0, 1));
+/// assert!(!budget.try_spend(0, 1));
 /// ```
 #[derive(Clone, Debug)]
 pub struct WindowBudget {
@@ -58,14 +58,14 @@
     }
 
     /// Records the first send of a request.
-    pub fn request(&mut self, now_ms: u64) {
+    pub fn record_request(&mut self, now_ms: u64) {
         self.current_bucket(now_ms).requests += 1;
     }
 
     /// Spends one retry if one remains. `hosts` is the number of hosts that share the
     /// slack, this one included.
-    pub fn take(&mut self, now_ms: u64, hosts: usize) -> bool {
-        if !self.has_left(now_ms, hosts) {
+    pub fn try_spend(&mut self, now_ms: u64, hosts: usize) -> bool {
+        if !self.has_remaining(now_ms, hosts) {
             return false;
         }
         self.current_bucket(now_ms).retries += 1;
@@ -73,7 +73,7 @@
     }
 
     /// Whether a retry remains.
-    pub fn has_left(&mut self, now_ms: u64, hosts: usize) -> bool {
+    pub fn has_remaining(&mut self, now_ms: u64, hosts: usize) -> bool {
         let slack = USABLE_FRACTION * self.rules.slack / hosts.max(1) as f64;
         let ratio = USABLE_FRACTION * self.rules.ratio;
         self.current_bucket(now_ms);
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -26,8 +26,8 @@
 
 impl ColdBound {
     /// Most requests in one second to an endpoint with this sustained rate.
-    fn max_requests_per_s(&self, bears_per_s: f64) -> f64 {
-        self.overshoot * bears_per_s + self.slack
+    fn max_requests_per_s(&self, sustained_per_s: f64) -> f64 {
+        self.overshoot * sustained_per_s + self.slack
     }
 }
 
@@ -63,18 +63,18 @@
     /// use chalkrock_routing::{ColdBound, ColdShare};
     ///
     /// let bound = ColdBound { overshoot: 1.5, slack: 5.0 };
-    /// let share = ColdShare::of(&bound, 13.0, 16);
+    /// let share = ColdShare::new(&bound, 13.0, 16);
     /// assert_eq!(share.senders, 16);
     /// assert_eq!(share.per_s, 13.0 / 16.0);
     /// ```
-    pub fn of(bound: &ColdBound, bears_per_s: f64, hosts: usize) -> Self {
-        let limit_per_s = bound.max_requests_per_s(bears_per_s);
+    pub fn new(bound: &ColdBound, sustained_per_s: f64, hosts: usize) -> Self {
+        let limit_per_s = bound.max_requests_per_s(sustained_per_s);
         let share = |senders: usize| {
             let extra = 1 + senders / SENDERS_PER_EXTRA;
             let whole_per_s = (limit_per_s / (senders + extra) as f64).floor();
             Self {
                 senders,
-                per_s: whole_per_s.min(bears_per_s / senders as f64),
+                per_s: whole_per_s.min(sustained_per_s / senders as f64),
             }
         };
         let rate = |share: &Self| share.senders as f64 * share.per_s;
@@ -127,9 +127,9 @@
 /// let local = MemberHash::of("host-1");
 /// let mut cold = ColdEndpoints::new(Some(ColdBound { overshoot: 1.5, slack: 5.0 }));
 /// cold.set_hosts(local, vec![local], false);
-/// cold.told(7, 3_000, 0);
+/// cold.record_report(7, 3_000, 0);
 /// assert!(cold.may_send(7, 2.0, true, 0));
-/// cold.sent(7, 0);
+/// cold.record_sent(7, 0);
 /// assert!(!cold.may_send(7, 2.0, true, 100));
 /// assert!(cold.may_send(7, 2.0, true, 3_000)); // no longer cold
 /// ```
@@ -169,8 +169,8 @@
 
     /// Records for how much longer an endpoint reports to be cold. Returns whether it
     /// was not known to be cold.
-    pub fn told(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) -> bool {
-        if left_ms == 0 {
+    pub fn record_report(&mut self, endpoint: u32, remaining_ms: u64, now_ms: u64) -> bool {
+        if remaining_ms == 0 {
             if let Some(cold) = self.endpoints.get_mut(&endpoint) {
                 cold.reported_until_ms = now_ms;
             }
@@ -178,18 +178,18 @@
         }
         let is_newly_cold = !self.is_cold(endpoint, now_ms);
         let cold = self.endpoints.entry(endpoint).or_default();
-        cold.reported_until_ms = now_ms + left_ms;
+        cold.reported_until_ms = now_ms + remaining_ms;
         cold.presumed_until_ms = 0;
         is_newly_cold
     }
 
     /// Presumes an endpoint cold for a time, unless it reported recently.
-    pub fn doubt(&mut self, endpoint: u32, left_ms: u64, now_ms: u64) {
+    pub fn presume_cold(&mut self, endpoint: u32, remaining_ms: u64, now_ms: u64) {
         let known = self.endpoints.get(&endpoint);
         let has_reported = known.is_some_and(|cold| cold.was_reported_recently(now_ms));
-        if left_ms > 0 && !has_reported {
+        if remaining_ms > 0 && !has_reported {
             let cold = self.endpoints.entry(endpoint).or_default();
-            cold.presumed_until_ms = now_ms + left_ms;
+            cold.presumed_until_ms = now_ms + remaining_ms;
         }
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Remaining time for which an endpoint is treated as cold, in milliseconds.
-    pub fn left_ms(&self, endpoint: u32, now_ms: u64) -> u64 {
+    pub fn remaining_ms(&self, endpoint: u32, now_ms: u64) -> u64 {
         let cold = self.endpoints.get(&endpoint);
         cold.map_or(0, |cold| cold.until_ms().saturating_sub(now_ms))
     }
@@ -220,8 +220,8 @@
 
     /// Whether requests to an endpoint are limited now: it is cold, its sustained
     /// rate is not 0 (unlimited), and operators set a limit.
-    pub fn is_bounded(&self, endpoint: u32, bears_per_s: f64, now_ms: u64) -> bool {
-        self.bound.is_some() && bears_per_s > 0.0 && self.is_cold(endpoint, now_ms)
+    pub fn is_bounded(&self, endpoint: u32, sustained_per_s: f64, now_ms: u64) -> bool {
+        self.bound.is_some() && sustained_per_s > 0.0 && self.is_cold(endpoint, now_ms)
     }
 
     /// Whether this host may send a request to an endpoint now. A sustained rate of 0
@@ -229,17 +229,17 @@
     pub fn may_send(
         &self,
         endpoint: u32,
-        bears_per_s: f64,
+        sustained_per_s: f64,
         is_same_zone: bool,
         now_ms: u64,
     ) -> bool {
-        let is_bounded = self.is_bounded(endpoint, bears_per_s, now_ms);
+        let is_bounded = self.is_bounded(endpoint, sustained_per_s, now_ms);
         let cold = self.endpoints.get(&endpoint).filter(|_| is_bounded);
         let (Some(bound), Some(cold)) = (self.bound, cold) else {
             return true;
         };
         let hosts = self.hosts.len().max(self.min_hosts);
-        let share = ColdShare::of(&bound, bears_per_s, hosts);
+        let share = ColdShare::new(&bound, sustained_per_s, hosts);
         if !is_same_zone || !self.is_sender(endpoint, share.senders) {
             return false;
         }
@@ -250,7 +250,7 @@
     }
 
     /// Records that a request is sent to an endpoint.
-    pub fn sent(&mut self, endpoint: u32, now_ms: u64) {
+    pub fn record_sent(&mut self, endpoint: u32, now_ms: u64) {
         if let Some(cold) = self.endpoints.get_mut(&endpoint) {
             cold.sent_at_ms = Some(now_ms);
         }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,15 +1,15 @@
 //! Which endpoints exist and which of them accept new work.
 //!
 //! Entries come from the store, as a full list or as changes, and from other hosts,
-//! in the order of the store's versions. An endpoint that restarts keeps its name;
-//! another incarnation counts as another endpoint. An incarnation identifies a start
-//! but does not reliably order starts, since endpoints take it from the wall clock,
-//! which may step back.
+//! in the order of the store's versions. A restarted endpoint keeps its name and gets
+//! another incarnation, which counts as another endpoint. Incarnations identify
+//! starts but do not order them reliably, since endpoints take them from the wall
+//! clock.
 //!
 //! Within one incarnation leaving is sticky: no late, reordered or stale update
-//! reverts it. An endpoint may report in an answer that it leaves long before its
-//! entry does, and another host may pass that on before the entry is known, so
-//! leaving starts are kept apart from the list.
+//! reverts it. An endpoint may report in an answer that it leaves before its entry
+//! does, or even before the entry is known here, so leaving starts are kept apart
+//! from the list.
 //!
 //! An unlisted endpoint accepts no new work until it is listed again. Entries that
 //! lapse while the store is unavailable are kept for a short time after its return,
@@ -22,8 +22,7 @@
 use chalkrock_core::rendezvous::MemberHash;
 use chalkrock_core::{Endpoint, EndpointId, HostState, PoolId, ZoneId};
 
-/// How long an endpoint that left is remembered, so that a late update can't revive
-/// it.
+/// How long an endpoint that left is remembered; a late update can't revive it.
 const RETENTION_MS: u64 = 120_000;
 
 /// Whether an endpoint may be given new work.
@@ -54,7 +53,7 @@
 
 #[derive(Clone, Debug)]
 struct KnownEndpoint {
-    member: Member,
+    member: PoolMember,
     is_listed: bool,
     /// Whether it was unlisted while lapsed entries are kept.
     is_lapsed: bool,
@@ -81,7 +80,7 @@
     }
 
     fn is_serving(&self) -> bool {
-        self.takes_work() || self.state() == EndpointState::Evacuated
+        self.accepts_work() || self.state() == EndpointState::Evacuated
     }
 
     fn unlist(&mut self, is_lapsed: bool, now_ms: u64) {
@@ -106,12 +105,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
     /// Sorted by name, so that pools need no sorting after a change.
-    known: BTreeMap<EndpointId, KnownEndpoint>,
-    live: HashMap<PoolId, Arc<[Member]>>,
-    /// Endpoints that accept new work, or would if their zones were not evacuated.
-    serving: HashMap<PoolId, Arc<[Member]>>,
+    entries: BTreeMap<EndpointId, KnownEndpoint>,
+    live: HashMap<PoolId, Arc<[PoolMember]>>,
+    /// Endpoints that accept new work or would without evacuations.
+    serving: HashMap<PoolId, Arc<[PoolMember]>>,
     /// Endpoints that are leaving and still listed.
-    parting: HashMap<PoolId, Arc<[Member]>>,
+    leaving_members: HashMap<PoolId, Arc<[PoolMember]>>,
     keeps_lapsed: bool,
     evacuated: BTreeSet<ZoneId>,
     /// Starts that reported that they leave, by short hash.
@@ -130,11 +129,7 @@
     /// Replaces the whole list; endpoints missing from it become unlisted.
     pub fn replace(&mut self, endpoints: Vec<Endpoint>, now_ms: u64) {
         let keeps_lapsed = self.keeps_lapsed;
-        for known in self
-            .known_members
-            .values_mut()
-            .filter(|known| known.is_listed)
-        {
+        for known in self.entries.values_mut().filter(|known| known.is_listed) {
             known.unlist(keeps_lapsed, now_ms);
         }
         for endpoint in endpoints {
@@ -146,7 +141,7 @@
 
     /// Returns an endpoint of an older list, or the known start if that is later.
     pub fn later_start(&self, listed: Endpoint) -> Endpoint {
-        let known = self.known_members.get(&listed.name);
+        let known = self.entries.get(&listed.name);
         let known = known.map(|known| &*known.member.endpoint);
         let later = known.filter(|known| known.incarnation > listed.incarnation);
         later.cloned().unwrap_or(listed)
@@ -160,7 +155,7 @@
 
     /// Unlists an endpoint.
     pub fn remove(&mut self, name: &EndpointId, now_ms: u64) {
-        if let Some(known) = self.known_members.get_mut(name) {
+        if let Some(known) = self.entries.get_mut(name) {
             known.unlist(self.keeps_lapsed, now_ms);
         }
         self.drop_expired(now_ms);
@@ -169,21 +164,21 @@
 
     /// Unlists an endpoint whose entry is invalid, without keeping it as lapsed.
     pub fn discard(&mut self, name: &EndpointId, now_ms: u64) {
-        if let Some(known) = self.known_members.get_mut(name) {
+        if let Some(known) = self.entries.get_mut(name) {
             known.unlist(false, now_ms);
         }
         self.rebuild();
     }
 
-    /// Sets whether endpoints that become unlisted still accept work, since their
-    /// entries may have lapsed while the store was unavailable. Clearing this ends
-    /// that for all endpoints that were not listed again.
+    /// Sets whether endpoints that become unlisted accept work, since entries may
+    /// lapse while the store is unavailable. Clearing it also ends this for those now
+    /// lapsed.
     pub fn keep_lapsed(&mut self, keeps_lapsed: bool) {
         self.keeps_lapsed = keeps_lapsed;
         if keeps_lapsed {
             return;
         }
-        for known in self.known_members.values_mut() {
+        for known in self.entries.values_mut() {
             known.is_lapsed = false;
         }
         self.rebuild();
@@ -192,15 +187,14 @@
     /// Replaces the set of evacuated zones, whose endpoints accept no new work.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneId>) {
         self.evacuated = zones;
-        for known in self.known_members.values_mut() {
+        for known in self.entries.values_mut() {
             let member = &mut known.member;
             member.is_evacuated = self.evacuated.contains(&member.endpoint.zone);
         }
         self.rebuild();
     }
 
-    /// Marks starts as leaving, given their short hashes. Returns the endpoints that
-    /// were not leaving before.
+    /// Marks starts, by short hash, as leaving. Returns the endpoints newly marked.
     pub fn mark_leaving(&mut self, starts: &[u32], now_ms: u64) -> Vec<Arc<Endpoint>> {
         let is_new = |start: &u32| !self.leaving_starts.contains_key(start);
         let new: Vec<u32> = starts.iter().copied().filter(is_new).collect();
@@ -215,7 +209,7 @@
             self.leaving_starts.insert(*start, leaving);
         }
         let mut marked = Vec::new();
-        for known in self.known_members.values_mut() {
+        for known in self.entries.values_mut() {
             let start = known.member.hash.short();
             let Some(leaving) = self.leaving_starts.get_mut(&start) else {
                 continue;
@@ -237,7 +231,7 @@
     /// Drops starts that left long ago. Returns those that had an entry.
     pub fn expire_leaving(&mut self, now_ms: u64) -> Vec<Arc<Endpoint>> {
         let mut forgotten = Vec::new();
-        let known = &self.known_members;
+        let known = &self.entries;
         self.leaving_starts.retain(|start, leaving| {
             let entry = leaving.endpoint.as_ref();
             let entry = entry.and_then(|endpoint| known.get(&endpoint.name));
@@ -253,50 +247,49 @@
     }
 
     /// Endpoints of a pool that accept new work, by name.
-    pub fn live(&self, pool: &PoolId) -> Arc<[Member]> {
+    pub fn live(&self, pool: &PoolId) -> Arc<[PoolMember]> {
         self.live.get(pool).cloned().unwrap_or_default()
     }
 
-    /// Endpoints of a pool that are neither leaving nor gone, by name, including
-    /// those of evacuated zones.
-    pub fn serving(&self, pool: &PoolId) -> Arc<[Member]> {
+    /// Endpoints of a pool, by name, that would accept new work without evacuations.
+    pub fn serving(&self, pool: &PoolId) -> Arc<[PoolMember]> {
         self.serving.get(pool).cloned().unwrap_or_default()
     }
 
-    /// Endpoints of a zone that are neither leaving nor gone.
-    pub fn serving_in(&self, zone: &ZoneId) -> impl Iterator<Item = &Member> {
+    /// Endpoints of a zone that would accept new work without evacuations.
+    pub fn serving_in(&self, zone: &ZoneId) -> impl Iterator<Item = &PoolMember> {
         let serving = self.serving.values().flat_map(|members| members.iter());
         serving.filter(move |member| member.endpoint.zone == *zone)
     }
 
     /// Whether this start of an endpoint accepts new work.
-    pub fn takes_work(&self, endpoint: &Endpoint) -> bool {
-        let known = self.known.get(&endpoint.name);
+    pub fn accepts_work(&self, endpoint: &Endpoint) -> bool {
+        let known = self.entries.get(&endpoint.name);
         known.is_some_and(|known| {
             let is_same_start = known.member.endpoint.incarnation == endpoint.incarnation;
             is_same_start && known.accepts_work()
         })
     }
 
-    /// Endpoints of a pool that are leaving and still listed. What they hold in
-    /// memory can be copied until they exit.
-    pub fn parting(&self, pool: &PoolId) -> Arc<[Member]> {
-        self.parting.get(pool).cloned().unwrap_or_default()
+    /// Endpoints of a pool that are leaving and still listed, so that their memory
+    /// can still be copied.
+    pub fn leaving_members(&self, pool: &PoolId) -> Arc<[PoolMember]> {
+        self.leaving_members.get(pool).cloned().unwrap_or_default()
     }
 
     /// All known endpoints, including those leaving or no longer listed.
-    pub fn known(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().map(|known| &known.member)
+    pub fn known_members(&self) -> impl Iterator<Item = &PoolMember> {
+        self.entries.values().map(|known| &known.member)
     }
 
     /// State of an endpoint; `None` if it is unknown.
     pub fn state(&self, name: &EndpointId) -> Option<EndpointState> {
-        self.known.get(name).map(KnownEndpoint::state)
+        self.entries.get(name).map(KnownEndpoint::state)
     }
 
     /// Short hashes of leaving endpoints that are listed or lapsed.
     pub fn leaving(&self) -> Vec<u32> {
-        let leaving = self.known_members.values().filter(|known| {
+        let leaving = self.entries.values().filter(|known| {
             known.state() == EndpointState::Leaving && (known.is_listed || known.is_lapsed)
         });
         leaving.map(|known| known.member.hash.short()).collect()
@@ -307,14 +300,14 @@
         self.live.values().map(|members| members.len()).sum()
     }
 
-    /// Number of endpoints that are neither leaving nor gone.
+    /// Number of endpoints that would accept new work without evacuations.
     pub fn serving_count(&self) -> usize {
         self.serving.values().map(|members| members.len()).sum()
     }
 
     /// The listed endpoints.
-    pub fn listed(&self) -> impl Iterator<Item = &Member> {
-        let listed = self.known.values().filter(|known| known.is_listed);
+    pub fn listed(&self) -> impl Iterator<Item = &PoolMember> {
+        let listed = self.entries.values().filter(|known| known.is_listed);
         listed.map(|known| &known.member)
     }
 
@@ -325,12 +318,12 @@
 
     /// Short hashes of the listed endpoints.
     pub fn listed_hashes(&self) -> HashSet<u32> {
-        let listed = self.known_members.values().filter(|known| known.is_listed);
+        let listed = self.entries.values().filter(|known| known.is_listed);
         listed.map(|known| known.member.hash.short()).collect()
     }
 
     fn merge(&mut self, mut endpoint: Endpoint) {
-        let known = self.known_members.get(&endpoint.name);
+        let known = self.entries.get(&endpoint.name);
         let known = known.map(|known| &*known.member.endpoint);
         if let Some(known) = known.filter(|known| known.incarnation == endpoint.incarnation) {
             endpoint.state = endpoint.state.max(known.state);
@@ -349,7 +342,7 @@
             leaving.endpoint = Some(endpoint.clone());
         }
         let known = KnownEndpoint {
-            member: Member {
+            member: PoolMember {
                 hash,
                 is_evacuated: self.evacuated.contains(&endpoint.zone),
                 endpoint,
@@ -358,18 +351,18 @@
             is_lapsed: false,
             unlisted_at_ms: 0,
         };
-        self.known_members
+        self.entries
             .insert(known.member.endpoint.name.clone(), known);
     }
 
     fn drop_expired(&mut self, now_ms: u64) {
-        self.known.retain(|_, known| {
+        self.entries.retain(|_, known| {
             known.is_listed || now_ms.saturating_sub(known.unlisted_at_ms) < RETENTION_MS
         });
     }
 
     fn rebuild(&mut self) {
-        self.live = self.by_pool(KnownEndpoint::takes_work);
+        self.live = self.by_pool(KnownEndpoint::accepts_work);
         self.serving = if self.evacuated.is_empty() {
             self.live.clone()
         } else {
@@ -379,9 +372,12 @@
             self.by_pool(|known| known.state() == EndpointState::Leaving && known.is_listed);
     }
 
-    fn by_pool(&self, belongs: impl Fn(&KnownEndpoint) -> bool) -> HashMap<PoolId, Arc<[Member]>> {
-        let mut pools: HashMap<PoolId, Vec<Member>> = HashMap::new();
-        for known in self.known.values().filter(|known| belongs(known)) {
+    fn by_pool(
+        &self,
+        belongs: impl Fn(&KnownEndpoint) -> bool,
+    ) -> HashMap<PoolId, Arc<[PoolMember]>> {
+        let mut pools: HashMap<PoolId, Vec<PoolMember>> = HashMap::new();
+        for known in self.entries.values().filter(|known| belongs(known)) {
             let pool = known.member.endpoint.pool.clone();
             pools.entry(pool).or_default().push(known.member.clone());
         }
--- a/crates/routing/src/evacuations.rs
+++ b/crates/routing/src/evacuations.rs
@@ -1,8 +1,8 @@
 //! Evacuated availability zones, whose endpoints receive no new requests.
 //!
-//! A state always covers all zones, as of one version of the store. The state of the
-//! later version therefore holds for every zone, in whatever order and on whatever
-//! path states arrive, and an evacuation that ended can't reappear.
+//! A state always covers all zones, as of one version of the store. The later version
+//! therefore holds in whatever order states arrive, and an evacuation that ended
+//! can't reappear.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 use crate::StoreVersion;
 
-/// An operator's request to evacuate a zone or to end its evacuation.
+/// An operator's request to evacuate a zone or to end that.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationRow {
     /// Store version of the request.
@@ -51,10 +51,10 @@
 /// ```
 /// use chalkrock_routing::{Evacuations, StoreVersion};
 ///
-/// let mut known = Evacuations::as_of(StoreVersion(7), ["zone-a".into()]);
-/// let ended = Evacuations::as_of(StoreVersion(9), []);
+/// let mut known = Evacuations::from_snapshot(StoreVersion(7), ["zone-a".into()]);
+/// let ended = Evacuations::from_snapshot(StoreVersion(9), []);
 /// known.merge(&ended);
-/// let late = Evacuations::as_of(StoreVersion(8), ["zone-a".into()]);
+/// let late = Evacuations::from_snapshot(StoreVersion(8), ["zone-a".into()]);
 /// assert!(known.merge(&late).is_empty());
 /// assert!(!known.contains(&"zone-a".into()));
 /// ```
@@ -66,7 +66,7 @@
 
 impl Evacuations {
     /// Creates the state of a store version.
-    pub fn as_of(version: StoreVersion, zones: impl IntoIterator<Item = ZoneId>) -> Self {
+    pub fn from_snapshot(version: StoreVersion, zones: impl IntoIterator<Item = ZoneId>) -> Self {
         Self {
             version,
             zones: zones.into_iter().collect(),
@@ -103,19 +103,22 @@
         change
     }
 
-    /// Adopts a full state from the store. The first state of a later era comes from
-    /// a restored backup, which may lack the latest writes of operators: evacuated
-    /// zones stay so until operators write about them again.
-    pub fn read(&mut self, mut other: Evacuations) -> EvacuationChange {
+    /// Adopts a full state from the store. The first one of a later era is of a restored
+    /// backup that may lack the latest writes, so that it ends no evacuation.
+    pub fn replace(&mut self, mut other: Evacuations) -> EvacuationChange {
         if other.version.era() > self.version.era() {
             other.zones.extend(self.zones.iter().cloned());
         }
         self.merge(&other)
     }
 
-    /// Applies rows of the store's history, oldest first, that end at `until` and
-    /// begin no later than the known version. Returns what changed.
-    pub fn follow(&mut self, rows: &[EvacuationRow], until: StoreVersion) -> EvacuationChange {
+    /// Applies rows of the store's history, oldest first, up to `until`, that begin
+    /// no later than the known version. Returns what changed.
+    pub fn apply_changes(
+        &mut self,
+        rows: &[EvacuationRow],
+        until: StoreVersion,
+    ) -> EvacuationChange {
         let mut next = self.clone();
         for row in rows.iter().filter(|row| row.version > self.version) {
             if row.is_evacuated {
--- a/crates/routing/src/event_frames.rs
+++ b/crates/routing/src/event_frames.rs
@@ -26,7 +26,7 @@
 /// frames.push(b"id: 3\ndata: a\n\nid: 4\nda");
 /// assert_eq!(frames.next().unwrap().id, Some(3));
 /// assert!(frames.next().is_none());
-/// assert_eq!(frames.rest().len(), 8);
+/// assert_eq!(frames.remaining().len(), 8);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct EventFrames {
@@ -55,12 +55,12 @@
     }
 
     /// Bytes of an incomplete event.
-    pub fn rest(&self) -> &[u8] {
+    pub fn remaining(&self) -> &[u8] {
         &self.buffer
     }
 
     /// Removes and returns the bytes of an incomplete event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_remaining(&mut self) -> Bytes {
         self.searched_bytes = 0;
         let length = self.buffer.remaining();
         self.buffer.copy_to_bytes(length)
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -97,7 +97,7 @@
 
     /// Records that a request is sent. The first one after a suspicion probes the
     /// endpoint.
-    pub fn sent(&mut self, now_ms: u64) {
+    pub fn record_sent(&mut self, now_ms: u64) {
         if self.consecutive_suspicions > 0 && now_ms >= self.suspect_until_ms {
             self.is_probed = true;
             self.suspect_until_ms = now_ms + SILENCE_TIMEOUT_MS;
@@ -105,7 +105,7 @@
     }
 
     /// Records that a byte of an answer arrived.
-    pub fn heard(&mut self, now_ms: u64) {
+    pub fn record_received(&mut self, now_ms: u64) {
         self.received_at_ms = now_ms;
         self.silent_at_ms = None;
         if self.is_probed {
@@ -120,7 +120,7 @@
 
     /// Whether the endpoint fell silent and nothing was received since. A repeatable
     /// request should probe it first, if there is one.
-    pub fn is_doubtful(&self, now_ms: u64) -> bool {
+    pub fn is_on_probation(&self, now_ms: u64) -> bool {
         self.silent_at_ms.is_some() && now_ms < self.suspect_until_ms + PROBATION_MS
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,15 +1,12 @@
 //! Routing decisions for one request, free of I/O.
 //!
-//! A request is anything that a route matches: a call of a plain service, repeatable
-//! or not, or a streamed generation. This crate determines its route and organisation
-//! ([`Rules`]), which endpoints may receive it ([`EndpointTable`], [`Evacuations`])
-//! and at which rate while they are cold ([`ColdEndpoints`]) or after they back off
-//! ([`Backoffs`]), their load over the whole fleet ([`FleetLoad`]), the endpoint that
-//! receives it ([`choose`]), the next step after an attempt ([`next_step`]), whether
-//! a retry is within the budget ([`WindowBudget`]), how a pool moves to another build
-//! ([`Rollouts`]) and what a stopping host still accepts ([`DrainSchedule`]). Use it
-//! alone to drive these decisions from a simulator; use `chalkrock-gateway` to serve
-//! requests.
+//! A request is a call that may or may not be repeated, or a streamed generation.
+//! This crate determines its route and organisation ([`Rules`]), the endpoints that
+//! may receive it ([`EndpointTable`], [`Evacuations`]) and at which rate while they
+//! are cold ([`ColdEndpoints`]) or after they back off ([`Backoffs`]), their load
+//! ([`FleetLoad`]), the one that receives it ([`choose`]), the step after an
+//! attempt ([`next_step`]), the retry budget ([`WindowBudget`]), how a pool moves to
+//! another build ([`Rollouts`]) and what a stopping host accepts ([`DrainSchedule`]).
 //!
 //! Time is an argument, in milliseconds of a monotonic clock.
 //!
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -56,12 +56,12 @@
 
 impl Route {
     /// Whether the route matches a path.
-    pub fn takes(&self, path: &str) -> bool {
+    pub fn matches(&self, path: &str) -> bool {
         path.starts_with(&*self.path_prefix)
     }
 
     /// The pool for a draw, which may be any number; equal draws give equal pools.
-    pub fn pool_of(&self, draw: u64) -> Option<&PoolId> {
+    pub fn pool_for(&self, draw: u64) -> Option<&PoolId> {
         let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
         let mut remainder = draw.checked_rem(total)?;
         for backend in &self.backends {
--- a/crates/routing/src/store_version.rs
+++ b/crates/routing/src/store_version.rs
@@ -27,10 +27,10 @@
 
 impl StoreVersion {
     /// Largest number that a version can hold.
-    pub const LAST_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
+    pub const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 
     /// Creates the version of a number in an era.
-    pub fn of_era(era: u64, number: u64) -> Self {
+    pub fn in_era(era: u64, number: u64) -> Self {
         Self(era << NUMBER_BITS | number)
     }
 
