--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -20,7 +20,7 @@
 use crate::endpoints::PoolMember;
 
 /// Longest backoff that is honoured; an endpoint that needs longer asks again.
-pub const BACKOFF_MAX_MS: u64 = 3_600_000;
+pub const MAX_BACKOFF_MS: u64 = 3_600_000;
 /// Range of the jitter that a host adds, as a fraction of the requested time.
 const JITTER_FRACTION: std::ops::Range<f64> = 0.01..0.2;
 /// Duration of the ramp-up after a backoff.
@@ -118,7 +118,7 @@
         if requested_ms == 0 {
             return BackoffChange::None;
         }
-        let requested_ms = requested_ms.min(BACKOFF_MAX_MS);
+        let requested_ms = requested_ms.min(MAX_BACKOFF_MS);
         let jitter = JITTER_FRACTION.start + draw * (JITTER_FRACTION.end - JITTER_FRACTION.start);
         let for_ms = requested_ms + (requested_ms as f64 * jitter).ceil() as u64;
         let until_ms = now_ms + for_ms;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -69,7 +69,7 @@
     shed_probability,
 };
 pub use attempt::{AttemptOutcome, Next, Repeatable, next_step};
-pub use backoff::{BACKOFF_MAX_MS, BackoffChange, Backoffs};
+pub use backoff::{BackoffChange, Backoffs, MAX_BACKOFF_MS};
 pub use budget::{BudgetRules, WindowBudget};
 pub use cold::{ColdBound, ColdEndpoints, ColdShare};
 pub use drain_schedule::{DrainPhase, DrainSchedule};
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use chalkrock_core::{BuildVersion, Endpoint, EndpointKind, HostState, Incarnation};
-use chalkrock_routing::{BACKOFF_MAX_MS, BackoffChange, Backoffs, PoolMember};
+use chalkrock_routing::{BackoffChange, Backoffs, MAX_BACKOFF_MS, PoolMember};
 use googletest::prelude::*;
 use proptest::prelude::*;
 
@@ -70,7 +70,7 @@
         Case {
             name: "years",
             words: &[(0, u64::MAX)],
-            over: (BACKOFF_MAX_MS, BACKOFF_MAX_MS + BACKOFF_MAX_MS / 5),
+            over: (MAX_BACKOFF_MS, MAX_BACKOFF_MS + MAX_BACKOFF_MS / 5),
         },
     ];
     const BEGAN_MS: u64 = 1_000;
