--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -106,7 +106,7 @@
     let body = read_body(shared, body, &limits, organisation).await?;
     if matches!(
         shared.stop_phase(),
-        Some(DrainPhase::Drains | DrainPhase::Ends)
+        Some(DrainPhase::Draining | DrainPhase::Exiting)
     ) {
         return Err(Refusal::new(Reason::Leaving, "the host is stopping"));
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -83,7 +83,7 @@
     );
     let is_over = tokio::select! {
         _callers_may_break_off = served.as_mut() => true,
-        () = shared.wait_for_stop_phase(DrainPhase::Drains) => false,
+        () = shared.wait_for_stop_phase(DrainPhase::Draining) => false,
     };
     if !is_over {
         served.as_mut().graceful_shutdown();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -294,7 +294,7 @@
     shared.request_stop();
     loop {
         shared.update_stop();
-        if shared.stop_phase() == Some(DrainPhase::Ends) {
+        if shared.stop_phase() == Some(DrainPhase::Exiting) {
             break;
         }
         tokio::time::sleep(STOP_STEP).await;
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -358,9 +358,9 @@
         });
         if let Some(phase) = phase.filter(|_| is_news) {
             let phase = match phase {
-                DrainPhase::TakesLast => "takes-last",
-                DrainPhase::Drains => "drains",
-                DrainPhase::Ends => "ends",
+                DrainPhase::Accepting => "takes-last",
+                DrainPhase::Draining => "drains",
+                DrainPhase::Exiting => "ends",
             };
             let running = self.running();
             self.event_log.emit(&Event::Stop { phase, running });
@@ -370,9 +370,9 @@
     /// Waits until a stop has come as far as `phase`.
     pub(crate) async fn wait_for_stop_phase(&self, phase: DrainPhase) {
         let order = |phase: &DrainPhase| match phase {
-            DrainPhase::TakesLast => 0,
-            DrainPhase::Drains => 1,
-            DrainPhase::Ends => 2,
+            DrainPhase::Accepting => 0,
+            DrainPhase::Draining => 1,
+            DrainPhase::Exiting => 2,
         };
         let mut stop = self.stop.subscribe();
         let reached = |known: &Option<DrainPhase>| {
--- a/crates/routing/src/drain_schedule.rs
+++ b/crates/routing/src/drain_schedule.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainPhase {
     /// Accepts requests and closes each connection after its answer.
-    TakesLast,
+    Accepting,
     /// Rejects new requests while running ones end.
-    Drains,
+    Draining,
     /// Exits.
-    Ends,
+    Exiting,
 }
 
 /// Schedule of one stop.
@@ -33,9 +33,9 @@
 /// use chalkrock_routing::{DrainPhase, DrainSchedule};
 ///
 /// let schedule = DrainSchedule::new(8_000);
-/// assert_eq!(schedule.phase(0, 3), DrainPhase::TakesLast);
-/// assert_eq!(schedule.phase(4_000, 3), DrainPhase::Drains);
-/// assert_eq!(schedule.phase(4_000, 0), DrainPhase::Ends);
+/// assert_eq!(schedule.phase(0, 3), DrainPhase::Accepting);
+/// assert_eq!(schedule.phase(4_000, 3), DrainPhase::Draining);
+/// assert_eq!(schedule.phase(4_000, 0), DrainPhase::Exiting);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainSchedule {
@@ -54,14 +54,14 @@
         let accepts_until_ms = (ACCEPT_FRACTION * self.grace_ms as f64) as u64;
         let exits_at_ms = self.grace_ms.saturating_sub(EXIT_RESERVE_MS);
         if elapsed_ms >= exits_at_ms {
-            return DrainPhase::Ends;
+            return DrainPhase::Exiting;
         }
         if elapsed_ms < accepts_until_ms {
-            return DrainPhase::TakesLast;
+            return DrainPhase::Accepting;
         }
         if running == 0 && elapsed_ms >= BALANCER_DELAY_MS.min(exits_at_ms) {
-            return DrainPhase::Ends;
+            return DrainPhase::Exiting;
         }
-        DrainPhase::Drains
+        DrainPhase::Draining
     }
 }
