--- a/crates/gateway/tests/gateway/support/fleet.rs
+++ b/crates/gateway/tests/gateway/support/fleet.rs
@@ -8,8 +8,8 @@
 use chalkrock_gateway::{GatewayConfig, GatewayConfigBuilder, RunningGateway, start};
 use chalkrock_process::{StopHandle, stop_pair};
 use chalkrock_routing::{
-    Backend, BudgetRules, ColdBound, OrganisationRules, Route, RouteKind, RulesDocument,
-    RulesVersion,
+    BudgetRules, ColdBound, OrganisationRules, Route, RouteKind, RulesDocument, RulesVersion,
+    WeightedPool,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -27,7 +27,7 @@
         name: name.into(),
         host: "a.example".into(),
         path_prefix: format!("/{name}/").into(),
-        backends: vec![Backend {
+        backends: vec![WeightedPool {
             pool: PoolId::from("pool"),
             weight: 1,
         }],
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -92,7 +92,7 @@
     RolloutOrder, RolloutOrderRow, RolloutOrders, RolloutReason, RolloutRecord, RolloutStage,
     RolloutView, Rollouts, StageTransition, Tally, TallyRow, assess_build, next_stage,
 };
-pub use route::{Backend, Route, RouteKind};
+pub use route::{Route, RouteKind, WeightedPool};
 pub use rules::{
     Caller, CallerLimits, OrganisationRules, PoolRules, Rules, RulesDocument, RulesVersion,
 };
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -22,7 +22,7 @@
 
 /// A pool that serves a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Backend {
+pub struct WeightedPool {
     /// The pool.
     pub pool: PoolId,
     /// Weight relative to the route's other pools.
@@ -39,7 +39,7 @@
     /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: Arc<str>,
     /// The pools that serve it.
-    pub backends: Vec<Backend>,
+    pub backends: Vec<WeightedPool>,
     /// Whether its requests may be repeated.
     pub kind: RouteKind,
     /// Longest duration of a request.
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -4,12 +4,12 @@
 
 use chalkrock_core::PoolId;
 use chalkrock_routing::{
-    Backend, OrganisationRules, Route, RouteKind, Rules, RulesDocument, RulesVersion,
+    OrganisationRules, Route, RouteKind, Rules, RulesDocument, RulesVersion, WeightedPool,
 };
 use googletest::prelude::*;
 
 fn route(name: &str, host: &str, path_prefix: &str, pools: &[(&str, u32)]) -> Route {
-    let backends = pools.iter().map(|(pool, weight)| Backend {
+    let backends = pools.iter().map(|(pool, weight)| WeightedPool {
         pool: PoolId::from(*pool),
         weight: *weight,
     });
--- a/crates/routing/tests/rules_change.rs
+++ b/crates/routing/tests/rules_change.rs
@@ -5,8 +5,8 @@
 
 use chalkrock_core::PoolId;
 use chalkrock_routing::{
-    Backend, CallerLimits, OrganisationRules, PoolRules, Route, RouteKind, RulesChange,
-    RulesDocument, RulesHistory, RulesVersion,
+    CallerLimits, OrganisationRules, PoolRules, Route, RouteKind, RulesChange, RulesDocument,
+    RulesHistory, RulesVersion, WeightedPool,
 };
 use googletest::prelude::*;
 use proptest::collection::btree_map;
@@ -17,7 +17,7 @@
         name: name.into(),
         host: "a.example".into(),
         path_prefix: format!("/{name}/").into(),
-        backends: vec![Backend {
+        backends: vec![WeightedPool {
             pool: PoolId::from("pool"),
             weight: 1,
         }],
