--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -191,13 +191,13 @@
             record.end = Some(end);
         }
         self.suspect(end);
-        if end.is_failure() {
+        if end.is_build_failure() {
             self.count_answer(ObservedResponse::Failed);
         }
         if end == AttemptOutcome::NotTheEndpoint {
             self.endpoint_is_gone();
         }
-        if end.arrived() {
+        if end.counts_as_attempt() {
             self.sent += 1;
         }
         let next = next_step(
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -53,7 +53,7 @@
 
     /// Whether the endpoint received the request, so that the attempt counts against
     /// the route's limit.
-    pub fn arrived(self) -> bool {
+    pub fn counts_as_attempt(self) -> bool {
         !matches!(
             self,
             AttemptOutcome::NotSent | AttemptOutcome::Withdrawn | AttemptOutcome::NotTheEndpoint
@@ -62,13 +62,13 @@
 
     /// Whether a process at the endpoint's address received the request, so that the
     /// attempt counts against the retry budget, even if it was rejected.
-    pub fn reached(self) -> bool {
+    pub fn counts_against_budget(self) -> bool {
         !matches!(self, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn)
     }
 
     /// Whether it counts as a failure of the endpoint's build: the request arrived
     /// and no valid answer followed.
-    pub fn is_failure(self) -> bool {
+    pub fn is_build_failure(self) -> bool {
         matches!(
             self,
             AttemptOutcome::Failed
@@ -140,7 +140,7 @@
     let worst = worst(earlier, end.outcome());
     let may_run_again = worst == Outcome::NotRun || repeatable == Repeatable::Yes;
     let may_send = sent < attempts_max.max(1) && may_run_again && end != AttemptOutcome::Recalled;
-    if may_send && (!end.reached() || is_paid()) {
+    if may_send && (!end.counts_against_budget() || is_paid()) {
         return Next::Elsewhere;
     }
     // `NotRun` is not reported once any attempt may have run.
