--- a/crates/gateway/src/active_rules.rs
+++ b/crates/gateway/src/active_rules.rs
@@ -19,8 +19,8 @@
     /// Routes and organisations that it names.
     pub(crate) fn entries(&self) -> usize {
         match self {
-            Self::Entire(document) => document.entries(),
-            Self::Changes(changes) => changes.iter().map(|change| change.entries()).sum(),
+            Self::Entire(document) => document.entry_count(),
+            Self::Changes(changes) => changes.iter().map(|change| change.entry_count()).sum(),
         }
     }
 }
@@ -58,7 +58,7 @@
         document.sort();
         let change = known.and_then(|known| RulesChange::between(known.document(), &document));
         match change {
-            Some(change) => history.push(Arc::new(change), document.entries()),
+            Some(change) => history.push(Arc::new(change), document.entry_count()),
             None => history.clear(),
         }
         self.current.store(Some(Arc::new(Rules::new(document))));
@@ -87,7 +87,7 @@
             return false;
         }
         for change in changes {
-            history.push(change, document.entries());
+            history.push(change, document.entry_count());
         }
         self.current.store(Some(Arc::new(Rules::new(document))));
         true
--- a/crates/routing/src/rules.rs
+++ b/crates/routing/src/rules.rs
@@ -92,7 +92,7 @@
 
 impl RulesDocument {
     /// Number of routes and organisations.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.routes.len() + self.organisations.len()
     }
 
--- a/crates/routing/src/rules_change.rs
+++ b/crates/routing/src/rules_change.rs
@@ -66,8 +66,8 @@
     }
 
     /// Number of changed entries.
-    pub fn entries(&self) -> usize {
-        self.routes.entries() + self.organisations.entries()
+    pub fn entry_count(&self) -> usize {
+        self.routes.entry_count() + self.organisations.entry_count()
     }
 }
 
@@ -77,20 +77,20 @@
 
 impl RulesHistory {
     /// Adds the change to the current rules. Drops the oldest changes while together
-    /// they have more than `entries_max` entries: the whole document is smaller, and
+    /// they have more than `max_entries` entries: the whole document is smaller, and
     /// memory stays bounded.
-    pub fn push(&mut self, change: Arc<RulesChange>, entries_max: usize) {
+    pub fn push(&mut self, change: Arc<RulesChange>, max_entries: usize) {
         if self.0.back().is_some_and(|last| last.to != change.from) {
             self.0.clear();
         }
         self.0.push_back(change);
-        while self.0.len() > MAX_CHANGES || self.entries() > entries_max {
+        while self.0.len() > MAX_CHANGES || self.entry_count() > max_entries {
             self.0.pop_front();
         }
     }
 
-    fn entries(&self) -> usize {
-        self.0.iter().map(|change| change.entries()).sum()
+    fn entry_count(&self) -> usize {
+        self.0.iter().map(|change| change.entry_count()).sum()
     }
 
     /// Drops all changes, when the change to the current rules is unknown.
@@ -163,7 +163,7 @@
         all
     }
 
-    fn entries(&self) -> usize {
+    fn entry_count(&self) -> usize {
         self.put.len() + self.gone.len()
     }
 }
--- a/crates/routing/tests/rules_change.rs
+++ b/crates/routing/tests/rules_change.rs
@@ -97,7 +97,7 @@
     ];
     for (name, new, entries) in cases {
         let change = RulesChange::between(&first(), &new).expect(name);
-        assert_that!(change.entries(), eq(entries), "{name}");
+        assert_that!(change.entry_count(), eq(entries), "{name}");
         assert_that!(change.apply(&first()), some(eq(&new)), "{name}");
     }
 }
@@ -234,7 +234,7 @@
     let mut history = RulesHistory::default();
     for version in 1..=3 {
         let change = RulesChange::between(&at(version), &at(version + 1)).expect("a change");
-        history.push(Arc::new(change), at(version + 1).entries());
+        history.push(Arc::new(change), at(version + 1).entry_count());
     }
     assert_that!(history.since(RulesVersion(2)), none());
     assert_that!(history.since(RulesVersion(3)), some(len(eq(1))));
