--- a/crates/routing/src/rules.rs
+++ b/crates/routing/src/rules.rs
@@ -129,8 +129,8 @@
     /// Routes by host name, the longest path prefix first.
     by_host: HashMap<Arc<str>, Vec<Arc<Route>>>,
     by_key: HashMap<Arc<str>, Caller>,
-    /// Shortest objective in milliseconds by pool and priority.
-    objectives: HashMap<PoolId, BTreeMap<u8, u64>>,
+    /// Shortest objective by pool and priority.
+    objectives_ms: HashMap<PoolId, BTreeMap<u8, u64>>,
 }
 
 impl Rules {
@@ -155,16 +155,16 @@
             let keys = organisation.keys.iter().cloned();
             by_key.extend(keys.map(|key| (key, caller.clone())));
         }
-        let mut objectives: HashMap<PoolId, BTreeMap<u8, u64>> = HashMap::new();
+        let mut objectives_ms: HashMap<PoolId, BTreeMap<u8, u64>> = HashMap::new();
         for route in &document.routes {
             for backend in route.backends.iter().filter(|backend| backend.weight > 0) {
-                let pool_objectives = objectives.entry(backend.pool.clone()).or_default();
+                let pool_objectives = objectives_ms.entry(backend.pool.clone()).or_default();
                 let shortest = pool_objectives.entry(route.priority).or_insert(u64::MAX);
                 *shortest = route.objective_ms.min(*shortest);
             }
         }
         Self {
-            objectives,
+            objectives_ms,
             document: Arc::new(document),
             by_host,
             by_key,
@@ -196,7 +196,7 @@
     /// one of a more urgent route there. With its own alone, a route with a long
     /// objective would be admitted while a more urgent one is rejected.
     pub fn admission_objective_ms(&self, pool: &PoolId, route: &Route) -> u64 {
-        let pool_objectives = self.objectives.get(pool).into_iter();
+        let pool_objectives = self.objectives_ms.get(pool).into_iter();
         let more_urgent = pool_objectives.flat_map(|ranks| ranks.range(..route.priority));
         let shortest = more_urgent.map(|(_, objective_ms)| *objective_ms).min();
         shortest.map_or(route.objective_ms, |ms| ms.min(route.objective_ms))
