--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,17 +1,14 @@
-//! Decisions about one general request, free of I/O.
+//! Routing decisions for one request, free of I/O.
 //!
-//! A request here is anything that a route takes: a call of a plain service
-//! that may or may not be repeated, or a generation that streams. This crate
-//! says which route and organisation it belongs to ([`Rules`]), which
-//! endpoints may take it ([`EndpointTable`], [`Evacuations`]) and how many requests
-//! while they are cold ([`ColdEndpoints`]) or have asked for none ([`Backoffs`]), how loaded they are over the
-//! whole fleet ([`FleetLoad`]), which one it goes to ([`choose`]), what the end of an
-//! attempt allows next ([`next_step`]), whether a retry is paid for
-//! ([`WindowBudget`]), how a pool moves to another build ([`Rollouts`]) and what a
-//! host that is stopping still takes ([`DrainSchedule`]). Use it alone to drive these
-//! decisions from a simulator; use `chalkrock-gateway` to serve by them.
+//! A request is a call that may or may not be repeated, or a streamed generation.
+//! This crate determines its route and organisation ([`Rules`]), the endpoints that
+//! may receive it ([`EndpointTable`], [`Evacuations`]) and at which rate while they
+//! are cold ([`ColdEndpoints`]) or after they back off ([`Backoffs`]), their load
+//! ([`FleetLoad`]), the one that receives it ([`choose`]), the step after an
+//! attempt ([`next_step`]), the retry budget ([`WindowBudget`]), how a pool moves to
+//! another build ([`Rollouts`]) and what a stopping host accepts ([`DrainSchedule`]).
 //!
-//! Time is an argument, in milliseconds of any steady clock.
+//! Time is an argument, in milliseconds of a monotonic clock.
 //!
 //! # Example
 //!
@@ -72,7 +69,7 @@
     shed_probability,
 };
 pub use attempt::{AttemptOutcome, Next, Repeatable, next_step};
-pub use backoff::{BACKOFF_MAX_MS, BackoffChange, Backoffs};
+pub use backoff::{BackoffChange, Backoffs, MAX_BACKOFF_MS};
 pub use budget::{BudgetRules, WindowBudget};
 pub use cold::{ColdBound, ColdEndpoints, ColdShare};
 pub use drain_schedule::{DrainPhase, DrainSchedule};
@@ -95,7 +92,7 @@
     RolloutOrder, RolloutOrderRow, RolloutOrders, RolloutReason, RolloutRecord, RolloutStage,
     RolloutView, Rollouts, StageTransition, Tally, TallyRow, assess_build, next_stage,
 };
-pub use route::{Backend, Route, RouteKind};
+pub use route::{Route, RouteKind, WeightedPool};
 pub use rules::{
     Caller, CallerLimits, OrganisationRules, PoolRules, Rules, RulesDocument, RulesVersion,
 };
