--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -140,7 +140,7 @@
         self
     }
 
-    /// The limit on retries.
+    /// The limit on attempts beyond each request's first.
     pub fn retry_budget(mut self, budget: BudgetRules) -> Self {
         self.0.budget = budget;
         self
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -3,7 +3,7 @@
 //! A host records the requests that it had in progress on a crashed endpoint, sends them
 //! to the other hosts, and refuses those that
 //! [`PoisonEvidence`](chalkrock_routing::PoisonEvidence) confirms. Poison requests are also
-//! recorded in the store, as finding one again costs three endpoints.
+//! recorded in the store, since confirming one again would crash further endpoints.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Waits until a request is a poison request. The caller then withdraws it from an
+    /// Waits until a request is confirmed as a poison request. The caller then withdraws it from an
     /// endpoint that has not begun to answer, which it would crash as well.
     pub(crate) async fn wait_until_poison(&self, request: RequestFingerprint) {
         loop {
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -1,9 +1,9 @@
 //! Detects that the process was suspended, and refreshes its view of the fleet.
 //!
 //! During a suspension rules, endpoints and evacuations may change, and the steady clock
-//! may not advance. New requests wait until another host or the store has
-//! supplied a fresh view, or until neither answers in time. Requests in progress that
-//! move to another endpoint wait too, within their own deadline.
+//! may not advance. New requests wait until another host or the store has supplied a fresh
+//! view, or until neither answers in time. Requests in progress that move to another
+//! endpoint wait too, within their own deadline.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
