--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -103,7 +103,7 @@
 /// Serves one request.
 async fn serve(shared: Arc<Shared>, request: Request<Incoming>) -> Response<CallerBody> {
     let entered_at = Instant::now();
-    let running = shared.run();
+    let running = shared.begin_request();
     let (parts, body) = request.into_parts();
     let read = shared.edge.read_call(&parts);
     let request = Request::from_parts(parts, body);
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -135,7 +135,7 @@
     let Ok(bytes) = postcard::to_stdvec(datagram) else {
         return;
     };
-    shared.largest_datagram(bytes.len());
+    shared.record_datagram_size(bytes.len());
     for address in to {
         let _lost_datagrams_are_replaced = socket.try_send_to(&bytes, *address);
     }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -303,7 +303,7 @@
     }
 
     /// Records the size of a datagram to be sent.
-    pub(crate) fn largest_datagram(&self, bytes: usize) {
+    pub(crate) fn record_datagram_size(&self, bytes: usize) {
         let largest = self
             .largest_datagram_bytes
             .fetch_max(bytes, Ordering::Relaxed);
@@ -383,7 +383,7 @@
     }
 
     /// Counts a request as running until the guard is dropped.
-    pub(crate) fn run(self: &Arc<Self>) -> RunningGuard {
+    pub(crate) fn begin_request(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
         RunningGuard(self.clone())
     }
