--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Waits until a request is confirmed as a poison request. The caller then withdraws it from an
-    /// endpoint that has not begun to answer, which it would crash as well.
+    /// Waits until a request is confirmed as a poison request. The caller then withdraws it
+    /// from an endpoint that has not begun to answer, which it would crash as well.
     pub(crate) async fn wait_until_poison(&self, request: RequestFingerprint) {
         loop {
             let confirmed = self.poison_confirmed.notified();
