--- a/crates/gateway/src/fleet/builds.rs
+++ b/crates/gateway/src/fleet/builds.rs
@@ -1,4 +1,4 @@
-//! Which builds of a pool requests go to, while it moves from one to another.
+//! Selects endpoints by build while a pool is rolled out.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,11 +9,10 @@
 use crate::fleet::Fleet;
 use crate::peers::KnownBuilds;
 
-/// The endpoints of a pool that a request may go to by its build.
+/// Builds and canaries of a pool that may serve a request.
 pub(super) struct OpenBuilds<'a> {
     filter: BuildFilter<'a>,
-    /// Those of a new build that are tried; `None` if all that pass the filter may be
-    /// used.
+    /// The canaries; `None` if every endpoint that passes the filter is eligible.
     canaries: Option<Vec<MemberHash>>,
 }
 
@@ -26,7 +25,7 @@
 }
 
 impl Fleet {
-    /// The endpoints of a pool that may be used in one way.
+    /// The endpoints of a pool that are eligible for a build choice.
     pub(super) fn open_builds(&self, pool: &PoolId, by: BuildUse, now_ms: u64) -> OpenBuilds<'_> {
         let filter = self.rollouts.filter(pool, by, now_ms);
         let canaries = (by == BuildUse::Canary).then(|| {
@@ -39,7 +38,7 @@
         OpenBuilds { filter, canaries }
     }
 
-    /// Of a pool's members those of the builds that most requests try first.
+    /// The members of a pool whose build most requests use first.
     pub(super) fn of_usual_builds<'a>(
         &'a self,
         pool: &PoolId,
@@ -52,7 +51,7 @@
         members.filter(move |member| builds.admits(&member.endpoint.build))
     }
 
-    /// The endpoints of a pool by the builds of its rollout.
+    /// Slots and load of a pool, by the builds of its rollout.
     pub(crate) fn pool_builds(&self, pool: &PoolId) -> PoolBuilds {
         let Some((_, order)) = self.rollouts.order(pool) else {
             return PoolBuilds::default();
@@ -78,17 +77,17 @@
         builds
     }
 
-    /// The builds that a pool's endpoints run, but for the one that it moves to.
+    /// The builds that a pool's endpoints run, except `to`.
     pub(crate) fn builds_from(&self, pool: &PoolId, to: &BuildVersion) -> BTreeSet<BuildVersion> {
         let live = self.endpoints.live(pool);
         let builds = live.iter().map(|member| member.endpoint.build.clone());
         builds.filter(|build| build != to).collect()
     }
 
-    /// The software that endpoints run, to pass on.
+    /// The builds of all endpoints, to send to another host.
     pub(crate) fn known_builds(&self) -> KnownBuilds {
         if let Some(usual) = self.rollouts.usual_builds() {
-            // Nothing has to be looked up for each of thousands of endpoints.
+            // Avoids a lookup for each endpoint.
             return KnownBuilds {
                 usual,
                 others: Vec::new(),
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Takes note of the builds that endpoints run.
+    /// Records the builds that endpoints run.
     pub(super) fn note_builds(&mut self, now_ms: u64) {
         let mut by_pool: BTreeMap<&PoolId, BTreeSet<&BuildVersion>> = BTreeMap::new();
         for member in self.endpoints.listed() {
--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -1,5 +1,4 @@
-//! Endpoints that are sent nothing or little: those of evacuated zones, those that are
-//! cold, and those that asked this host for a while without requests.
+//! Endpoints that receive few or no requests: evacuated, cold or backing off.
 
 use chalkrock_core::{Endpoint, PoolId, ZoneId};
 use chalkrock_routing::{
@@ -9,19 +8,18 @@
 use crate::fleet::{Choice, Fleet};
 use crate::source::ListedEndpoint;
 
-/// Time after which a request that was chosen for a cold endpoint is no longer
-/// sent to it: many that waited for a connection would go out together.
+/// Maximum delay between selection of a cold endpoint and sending; requests that waited for
+/// a connection would otherwise arrive together.
 const COLD_SEND_DELAY_MAX_MS: u64 = 200;
 
 impl Fleet {
-    /// Takes what endpoints bear while they are cold.
+    /// Sets the pool settings.
     pub(crate) fn set_pools(&mut self, pools: &[PoolRules]) {
         let by_name = pools.iter().map(|pool| (pool.name.clone(), pool.clone()));
         self.pools = by_name.collect();
     }
 
-    /// Takes the zones that are evacuated, if they are known as of a later
-    /// version.
+    /// Merges evacuations received from a peer.
     pub(crate) fn take_evacuations(
         &mut self,
         evacuations: &Evacuations,
@@ -32,7 +30,7 @@
         change
     }
 
-    /// Takes the zones that are evacuated as they were read whole.
+    /// Replaces the evacuations after a full read of the store.
     pub(crate) fn read_evacuations(
         &mut self,
         evacuations: Evacuations,
@@ -43,7 +41,7 @@
         change
     }
 
-    /// Takes the evacuations of a part of the store's history.
+    /// Applies evacuation changes from the store, up to a version.
     pub(crate) fn follow_evacuations(
         &mut self,
         rows: &[EvacuationRow],
@@ -71,8 +69,7 @@
         }
     }
 
-    /// The endpoints of a zone that was taken back may have turned cold shortly
-    /// before, and their entries tell so late.
+    /// Endpoints of a reopened zone may have turned cold before their entries show it.
     fn doubt_zone(&mut self, zone: &ZoneId, now_ms: u64) {
         for member in self.endpoints.serving_in(zone) {
             let Some(pool) = self.pools.get(&member.endpoint.pool) else {
@@ -83,8 +80,8 @@
         }
     }
 
-    /// Whether so many endpoints are sent nothing or little that the others have
-    /// much more than their part.
+    /// Whether so many endpoints are closed that the others receive far more than their
+    /// usual share.
     pub(crate) fn is_crowded(&self, now_ms: u64) -> bool {
         const CLOSED_PART: f64 = 0.15;
         let serving = self.endpoints.serving_count();
@@ -93,8 +90,8 @@
         closed as f64 > CLOSED_PART * serving as f64
     }
 
-    /// Whether the endpoint of a choice may still be sent the request, which is
-    /// then sent.
+    /// Checks that the selected endpoint still accepts the request and, if so, records the
+    /// send.
     pub(crate) fn may_still_send(&mut self, choice: &Choice, now_ms: u64) -> bool {
         let member = &choice.member;
         let backs_off = self.backoffs.is_active(member.hash.short(), now_ms);
@@ -112,15 +109,15 @@
         may_send
     }
 
-    /// Whether a pool has an endpoint that may be sent requests now.
+    /// Whether a pool has an endpoint that accepts requests.
     pub(crate) fn takes_requests(&self, pool: &PoolId, now_ms: u64) -> bool {
         let live = self.endpoints.live(pool);
         let mut starts = live.iter().map(|member| member.hash.short());
         starts.any(|start| !self.backoffs.is_active(start, now_ms))
     }
 
-    /// Time until a pool has an endpoint again that may be sent requests, in
-    /// milliseconds; `None` unless all that it has asked to be sent nothing.
+    /// Time until an endpoint of the pool accepts requests, in milliseconds; `None` unless
+    /// all of them back off.
     pub(crate) fn backs_off_for_ms(&self, pool: &PoolId, now_ms: u64) -> Option<u64> {
         let live = self.endpoints.live(pool);
         let usable = self.of_usual_builds(pool, &live, now_ms);
@@ -128,8 +125,7 @@
         left_ms.min().filter(|left_ms| *left_ms > 0)
     }
 
-    /// Whether an endpoint is not cold, or this host's share of what it bears
-    /// allows a request now.
+    /// Whether an endpoint is warm or this host's share of its cold rate allows a request.
     pub(super) fn may_send_if_cold(&self, member: &Member, now_ms: u64) -> bool {
         if !self.is_bounded(member, now_ms) {
             return true;
@@ -140,7 +136,7 @@
             .may_send(member.hash.short(), bears_per_s, is_near, now_ms)
     }
 
-    /// Whether an endpoint is cold and bears only so many requests meanwhile.
+    /// Whether an endpoint is cold and its request rate is limited.
     pub(super) fn is_bounded(&self, member: &Member, now_ms: u64) -> bool {
         if self.cold.is_empty() {
             return false;
@@ -150,13 +146,12 @@
             .is_bounded(member.hash.short(), bears_per_s, now_ms)
     }
 
-    /// Requests that a cold endpoint of a pool bears in a second, 0 for any
-    /// number.
+    /// Requests a second that a cold endpoint of a pool sustains; 0 means no limit.
     pub(super) fn cold_per_s(&self, pool: &PoolId) -> f64 {
         self.pools.get(pool).map_or(0.0, PoolRules::cold_per_s)
     }
 
-    /// The endpoints of evacuated zones from which prefixes may still be copied.
+    /// Endpoints of evacuated zones from which prefixes may still be copied.
     pub(super) fn copied_while_evacuated(&self, pool: &PoolId, now_ms: u64) -> Vec<Member> {
         if self
             .copied_until_ms
@@ -173,7 +168,7 @@
         copied.cloned().collect()
     }
 
-    /// Takes what an endpoint's entry says of how long it is cold.
+    /// Records the remaining cold time in an endpoint's entry.
     pub(super) fn told_cold(&mut self, listed: &ListedEndpoint, now_ms: u64) {
         let short = listed.endpoint.start_hash().short();
         if self.cold.told(short, listed.cold_left_ms, now_ms) {
@@ -181,7 +176,7 @@
         }
     }
 
-    /// The endpoints that have been found to be cold since this was last asked.
+    /// Returns and clears the endpoints newly found cold.
     pub(crate) fn take_newly_cold(&mut self) -> Vec<Endpoint> {
         std::mem::take(&mut self.newly_cold)
     }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What a host believes of endpoints and of the other hosts' requests.
+//! This host's view of endpoints, fleet load and prefix locations.
 
 mod builds;
 mod closed;
@@ -20,81 +20,79 @@
 use crate::prefixes::Prefixes;
 use crate::source::{EndpointChange, EndpointRow, ListedEndpoint};
 
-/// Changes of the list that are kept to pass on at least.
+/// Minimum number of list changes retained for other hosts.
 const CHANGES_MIN: usize = 256;
-/// The part of the list's length up to which changes are kept: more would be no less to
-/// pass on than the list. With 256 of any list, a host that was 2 s behind while 50 of
-/// 10,000 endpoints were replaced each second had to take all of it.
+/// Changes are retained up to the length of the list divided by this; beyond that, the list
+/// itself is shorter to send.
 const CHANGES_PART: usize = 2;
 
-/// Requests that a cold endpoint works on at once, if it bears so many a second
-/// (0 for any number) and each stays so long.
+/// Concurrent requests that saturate a cold endpoint; `None` if its rate is not limited.
 fn places_while_cold(bears_per_s: f64, service_ms: f64) -> Option<u32> {
     const SECOND_MS: f64 = 1_000.0;
     (bears_per_s > 0.0).then(|| (bears_per_s * service_ms / SECOND_MS).ceil() as u32)
 }
 
-/// What a request wants of placement.
+/// The endpoint that a request needs.
 #[derive(Debug)]
 pub(crate) struct Wanted<'a> {
     pub(crate) pool: &'a PoolId,
-    /// The parts of its prompt that it shares with others, in order.
+    /// Hashes of its shared prompt prefixes, shortest first.
     pub(crate) shared_parts: &'a [u32],
-    /// Endpoints that had it already.
+    /// Short hashes of endpoints that already received it.
     pub(crate) tried: &'a [u32],
     pub(crate) repeatable: Repeatable,
-    /// Whether it may be sent to another endpoint if this one turns it away.
+    /// Whether another attempt remains if the endpoint rejects this one.
     pub(crate) has_attempt_left: bool,
-    /// Which builds it may go to, in the order in which they are tried.
+    /// Build choices, in order of preference.
     pub(crate) uses: &'a [BuildUse],
     pub(crate) draw: u64,
 }
 
-/// An endpoint that was chosen.
+/// The endpoint selected for a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Choice {
     pub(crate) member: Member,
-    /// Requests on it over the fleet, without this one.
+    /// Requests in progress on it across the fleet, excluding this one.
     pub(crate) load: u32,
-    /// Who else may hold the prefix in memory.
+    /// Another endpoint from which it may copy the prefix.
     pub(crate) holder: Option<SocketAddr>,
-    /// Why it was chosen.
+    /// Reason for the selection.
     pub(crate) basis: Basis,
-    /// Whether it was seen to hold the prefix.
+    /// Whether it is known to hold the prefix.
     pub(crate) holds_prefix: bool,
-    /// Whether it was cold, and this host's share of what it bears allowed it.
+    /// Whether it is cold and the request counts against this host's share of its rate.
     pub(crate) is_cold: bool,
     chosen_at_ms: u64,
 }
 
-/// The beliefs of one host.
+/// The fleet as one host knows it.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pub(crate) endpoints: EndpointTable,
-    /// The newest change of the list that is known.
+    /// Latest known version of the endpoint list.
     pub(crate) endpoints_version: StoreVersion,
-    /// Whether the list of endpoints was ever taken whole.
+    /// Whether a full list was ever applied.
     has_list: bool,
-    /// How often the store had come back from a copy when this host last read it whole.
+    /// Store era of the last full read.
     pub(crate) store_era: Option<u64>,
-    /// Until when entries are kept that lapsed while the store was away.
+    /// When endpoints whose entries lapsed during a store outage are dropped.
     lapsed_until_ms: Option<u64>,
-    /// The last changes of the list, to pass on.
+    /// Recent list changes, for other hosts.
     changes: VecDeque<EndpointRow>,
-    /// The version from which on `changes` holds each change.
+    /// `changes` holds every change after this version.
     changes_since: StoreVersion,
-    /// The zones that are evacuated.
+    /// Evacuated zones.
     pub(crate) evacuations: Evacuations,
-    /// Until when prefixes are copied from the endpoints of evacuated zones.
+    /// When prefixes stop being copied from each evacuated zone.
     copied_until_ms: HashMap<ZoneId, u64>,
     evacuation_copy_ms: u64,
     pub(crate) cold: ColdEndpoints,
     pub(crate) backoffs: Backoffs,
-    /// Endpoints that were found to be cold and not logged yet.
+    /// Endpoints newly found cold and not yet logged.
     newly_cold: Vec<Endpoint>,
-    /// Within how long an endpoint's entry tells what has become of it.
+    /// Maximum delay until an endpoint's entry reflects its state.
     entry_delay_ms: u64,
-    /// What endpoints bear while they are cold.
+    /// Pool settings, with the rates that cold endpoints sustain.
     pools: HashMap<PoolId, PoolRules>,
     pub(crate) load: FleetLoad<SocketAddr>,
     zone: ZoneId,
@@ -105,7 +103,7 @@
     service_times: HashMap<PoolId, ServiceTimeEwma>,
     /// By pool and route.
     longest_stays: HashMap<PoolId, HashMap<Arc<str>, LongestStay>>,
-    /// What organisations have in progress on this host.
+    /// Requests in progress on this host by organisation.
     pub(crate) shares: Shares,
     pub(crate) prefixes: Prefixes,
     pub(crate) poison: PoisonEvidence,
@@ -145,7 +143,7 @@
         }
     }
 
-    /// Takes bounds that were read again.
+    /// Applies reloaded limits.
     pub(crate) fn set_bounds(&mut self, config: &GatewayConfig) {
         self.spread = config.spread;
         self.cold.set_bound(config.cold_bound);
@@ -155,7 +153,7 @@
         }
     }
 
-    /// Chooses an endpoint of a pool.
+    /// Selects an endpoint of a pool.
     pub(crate) fn place(&self, wanted: &Wanted<'_>, now_ms: u64) -> Option<Choice> {
         let mut uses = wanted.uses.iter();
         uses.find_map(|by| self.place_by(wanted, *by, now_ms))
@@ -204,9 +202,8 @@
         })
     }
 
-    /// Requests that other hosts sent to a pool since they reported, in the
-    /// mean: by Little's law they send what they have in progress there once
-    /// in each mean stay.
+    /// Expected arrivals at a pool from other hosts since their last reports, by Little's
+    /// law: in-progress requests over the mean service time.
     fn unseen_arrivals(&self, pool: &PoolId, members: &[Member]) -> f64 {
         let service_ms = self.mean_service_ms(pool);
         if service_ms <= 0.0 {
@@ -222,8 +219,7 @@
         stay.map_or(0.0, ServiceTimeEwma::ms)
     }
 
-    /// Who else holds the prompt's prefix, or most of it: the endpoint may copy
-    /// it from there. One that is leaving counts, until it goes.
+    /// Finds another holder of the longest known prefix; endpoints that are leaving count.
     fn other_holder(
         &self,
         wanted: &Wanted<'_>,
@@ -248,8 +244,8 @@
                 return Some(address);
             }
         }
-        // Nothing is known, as after a start: the prefix lies where it would
-        // have gone without the endpoint that was chosen.
+        // No holder is known, as after a restart: use the endpoint that ranks first for the
+        // prefix without the chosen one.
         let deepest = KeyHash(u64::from(*wanted.shared_parts.last()?));
         let others = live.iter().chain(parting.iter()).chain(&evacuated);
         let others = others.filter(|member| member.hash != chosen.hash);
@@ -260,7 +256,7 @@
         address_of(first.hash.short())
     }
 
-    /// An endpoint as a candidate; `holders` are those that hold the prefix.
+    /// Builds a placement candidate; `holders` are the endpoints that hold the prefix.
     fn candidate(
         &self,
         member: &Member,
@@ -277,8 +273,8 @@
         let has_just_returned =
             self.backoffs
                 .prefers_others(short, wanted.has_attempt_left, now_ms);
-        // An endpoint that turns requests away has little in progress: it would be taken
-        // for idle, and sent more than any other.
+        // An endpoint that rejects requests has low load and would otherwise attract more
+        // of them.
         let backs_off = self.backoffs.is_active(short, now_ms);
         Candidate {
             hash: member.hash,
@@ -296,13 +292,12 @@
         health.is_some_and(|health| health.is_suspect(now_ms))
     }
 
-    /// What is known of an endpoint's health.
+    /// The health record of an endpoint, created on first use.
     pub(crate) fn health(&mut self, endpoint: u32) -> &mut EndpointHealth {
         self.health.entry(endpoint).or_default()
     }
 
-    /// Takes what was seen of an endpoint. Returns whether it has just come
-    /// under suspicion.
+    /// Records a health signal. Returns whether the endpoint has just become suspect.
     pub(crate) fn record_signal(
         &mut self,
         endpoint: u32,
@@ -322,8 +317,8 @@
         budget.or_insert_with(|| WindowBudget::new(rules))
     }
 
-    /// How full a pool is, but for endpoints that are suspect or asked to be sent nothing:
-    /// what is queued for their places would wait in vain.
+    /// Occupancy of a pool without endpoints that are suspect or back off: requests queued
+    /// for their slots would not be served.
     pub(crate) fn occupancy(&self, pool: &PoolId, now_ms: u64) -> PoolOccupancy {
         let members = self.endpoints.live(pool);
         let of_usual_builds = self.of_usual_builds(pool, &members, now_ms);
@@ -349,8 +344,8 @@
         }
     }
 
-    /// How long the longest requests of a pool's routes stayed: what this host saw of
-    /// late, and what others saw since the pool's rollout was ordered.
+    /// Longest recent service time for each route of a pool, from this host and from
+    /// rollout reports of other hosts.
     pub(crate) fn longest_stays_ms(&self, pool: &PoolId, now_ms: u64) -> BTreeMap<Arc<str>, u64> {
         let told = self.rollouts.evidence(pool).map(Evidence::longest_stays_ms);
         let mut stays_ms = told.cloned().unwrap_or_default();
@@ -361,7 +356,7 @@
         stays_ms
     }
 
-    /// A request of a route left an endpoint of a pool after so long.
+    /// Records how long a request of a route occupied an endpoint.
     pub(crate) fn record_service_time(
         &mut self,
         pool: &PoolId,
@@ -376,7 +371,7 @@
         longest.record(stayed_ms, now_ms);
     }
 
-    /// Takes the whole list of endpoints, as of a version.
+    /// Replaces the endpoint list with a full one as of a version.
     pub(crate) fn replace(
         &mut self,
         list: Vec<ListedEndpoint>,
@@ -387,11 +382,11 @@
             self.told_cold(listed, now_ms);
         }
         if self.has_list && version.era() > self.endpoints_version.era() {
-            // The store came back from a copy, which lacks endpoints that entered the
-            // list of late: they write themselves there again.
+            // A store restored from a copy lacks recent endpoints until they register
+            // again.
             self.store_is_back(now_ms, self.entry_delay_ms);
         }
-        // A list that was read slowly may be older than what other hosts passed on.
+        // A slow read may be older than what peers have sent.
         let is_older = version < self.endpoints_version;
         let endpoints = list.into_iter().map(|listed| {
             if is_older {
@@ -410,8 +405,8 @@
         self.forget_health();
     }
 
-    /// Takes changes of the list, oldest first. One that is known already
-    /// changes nothing. Returns whether any was news.
+    /// Applies list changes, oldest first, and skips known ones. Returns whether any was
+    /// new.
     pub(crate) fn take_changes(&mut self, rows: Vec<EndpointRow>, now_ms: u64) -> bool {
         let mut is_news = false;
         for row in rows {
@@ -449,7 +444,7 @@
         is_news
     }
 
-    /// The endpoints that are listed, to pass on.
+    /// The listed endpoints, to send to another host.
     pub(crate) fn listed(&self, now_ms: u64) -> Vec<ListedEndpoint> {
         let listed = self.endpoints.listed().map(|member| ListedEndpoint {
             endpoint: (*member.endpoint).clone(),
@@ -458,8 +453,8 @@
         listed.collect()
     }
 
-    /// The changes since a version, to pass on; `None` if they are not all
-    /// known.
+    /// The changes after a version, to send to another host; `None` if some are no longer
+    /// retained.
     pub(crate) fn changes_after(
         &self,
         version: StoreVersion,
@@ -472,7 +467,7 @@
         Some(after.map(|row| self.aged(row, now_ms)).collect())
     }
 
-    /// A change as it stands now: its endpoint is cold for as much less.
+    /// Updates a change's remaining cold time.
     fn aged(&self, row: &EndpointRow, now_ms: u64) -> EndpointRow {
         let mut row = row.clone();
         if let EndpointChange::Listed(listed) = &mut row.change {
@@ -482,13 +477,13 @@
         row
     }
 
-    /// The store is back: entries that lapsed meanwhile are kept for a while.
+    /// Keeps endpoints whose entries lapsed during a store outage for `grace_ms`.
     pub(crate) fn store_is_back(&mut self, now_ms: u64, grace_ms: u64) {
         self.endpoints.keep_lapsed(true);
         self.lapsed_until_ms = Some(now_ms + grace_ms);
     }
 
-    /// Drops the endpoints whose entries lapsed and did not come back in time.
+    /// Drops endpoints whose entries lapsed and were not renewed in time.
     pub(crate) fn expire_lapsed(&mut self, now_ms: u64) {
         if self
             .lapsed_until_ms
--- a/crates/gateway/src/peers/api.rs
+++ b/crates/gateway/src/peers/api.rs
@@ -1,4 +1,4 @@
-//! What hosts ask each other, over tarpc.
+//! RPC interface between hosts.
 
 use std::net::SocketAddr;
 
@@ -11,32 +11,32 @@
 use crate::rules_in_force::RulesNews;
 use crate::source::{EndpointRow, ListedEndpoint};
 
-/// What a host knows already.
+/// Versions that the requesting host already knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Have {
-    /// Where others may ask it once it has taken what it was missing.
+    /// Address at which other hosts can query it after the transfer.
     pub(crate) address: SocketAddr,
     pub(crate) rules: RulesVersion,
-    /// `None` if it has no list at all: an empty one is a list too.
+    /// `None` if it has no list yet, as opposed to an empty one.
     pub(crate) endpoints: Option<StoreVersion>,
-    /// Hosts that it knows of, itself included.
+    /// Number of hosts that it knows, itself included.
     pub(crate) hosts: usize,
 }
 
-/// The list of endpoints as one host knows it.
+/// Endpoint list entries that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum EndpointNews {
-    /// The whole list, as of a version.
+    /// The full list as of a version.
     Entire {
         version: StoreVersion,
         endpoints: Vec<ListedEndpoint>,
     },
-    /// Its changes since the version that was asked for.
+    /// Changes since the requested version.
     Changes(Vec<EndpointRow>),
 }
 
 impl EndpointNews {
-    /// Endpoints that it names.
+    /// Number of endpoints in the update.
     pub(crate) fn entries(&self) -> usize {
         match self {
             Self::Entire { endpoints, .. } => endpoints.len(),
@@ -45,60 +45,58 @@
     }
 }
 
-/// A host knows more, and passes it on to as many others as its link bears.
+/// Returned instead of state while all transfer slots are in use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Busy {
-    /// The rules that it has in force.
+    /// Version of the active rules.
     pub(crate) rules: RulesVersion,
-    /// The newest change of the list of endpoints that it knows.
+    /// Latest known version of the endpoint list.
     pub(crate) endpoints: StoreVersion,
-    /// Hosts that took as much from it.
+    /// Hosts that received a transfer of the same rules.
     pub(crate) ask: Vec<SocketAddr>,
 }
 
-/// What another host is missing.
+/// State that the requesting host is missing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Missing {
     pub(crate) rules: Option<RulesNews>,
     pub(crate) endpoints: Option<EndpointNews>,
-    /// The zones that are evacuated: whoever takes endpoints knows them too.
+    /// Evacuated zones; sent along with the endpoints that they affect.
     pub(crate) evacuations: Evacuations,
-    /// Requests that are sent no further.
+    /// Requests confirmed as poison.
     pub(crate) poison: Vec<PoisonRequest>,
-    /// Whether the asked host can serve: it has all it takes, and did not stand still of
-    /// late.
+    /// Whether the responder has a complete view and was not suspended recently.
     pub(crate) is_fresh: bool,
-    /// The hosts of the fleet, for one that knows of few.
+    /// Hosts of the fleet, for a requester that knows few.
     pub(crate) hosts: Vec<NamedHost>,
-    /// Set if this is not all that it is missing.
+    /// Set if the response is incomplete.
     pub(crate) busy: Option<Busy>,
 }
 
-/// What a host knows beside [`Missing`], which hosts of earlier builds read too and
-/// which therefore keeps its form.
+/// State outside [`Missing`], whose format older builds also decode.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Besides {
-    /// The software that endpoints run.
+    /// Builds that endpoints run.
     pub(crate) builds: KnownBuilds,
-    /// Orders to move pools to other builds, and how far that has come.
+    /// Rollout orders and progress.
     pub(crate) rollouts: Option<RolloutNews>,
 }
 
-/// The software that endpoints run: of each pool one build, and those of others.
+/// Builds that endpoints run: one for each pool, and the exceptions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct KnownBuilds {
     pub(crate) usual: Vec<(PoolId, BuildVersion)>,
-    /// Endpoints of another build than their pool's usual one, by their starts.
+    /// Endpoints with another build than their pool's usual one, by start hash.
     pub(crate) others: Vec<(u32, BuildVersion)>,
 }
 
-/// What hosts of any build ask each other. What has landed keeps its place and its
-/// form; what is new is a call of its own, which hosts of earlier builds break off.
+/// Calls between hosts of any build. Existing calls keep their order and format; new ones
+/// are appended, at which older builds close the connection.
 #[tarpc::service]
 pub(crate) trait PeerApi {
-    /// What this host knows beyond `have`.
+    /// Returns state beyond `have`.
     async fn missing(have: Have) -> Missing;
 
-    /// What this host knows of builds and rollouts.
+    /// Returns known builds and rollouts.
     async fn besides() -> Besides;
 }
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! The other hosts as this one knows them: who they are and who is up.
+//! Other hosts: their addresses, roles and liveness.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,29 +16,26 @@
 use crate::config::GatewayConfig;
 use crate::peers::message::{Heartbeat, NamedHost, RelaySummary, ZoneMember};
 
-/// Silence after which a host counts as gone.
+/// Silence after which a host is considered down.
 const SILENT_AFTER: Duration = Duration::from_secs(2);
-/// The same for a host that is known by relays' word only: a relay names each
-/// host of its zone once in three seconds at least.
+/// The same for a host known only from relays, each of which lists it at least every three
+/// seconds.
 const UNNAMED_AFTER: Duration = Duration::from_secs(4);
-/// Time within which each live host is heard once, those of other zones among
-/// them.
+/// Covers the resend interval of hosts in other zones.
 const RECENT_WITHIN: Duration = Duration::from_secs(40);
-/// Silence after which a host is forgotten, unless it speaks again.
+/// Silence after which a host is removed.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
 
-/// Time from its start after which the hosts of a zone know of a host, mostly by
-/// the word of relays, which name each once a second.
+/// Time after start until the hosts of a zone know a new host, mostly from relays.
 const COLD_SENDER_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Time from its start in which a host takes its zone to have more hosts than it
-/// knows; most cuts are over by then.
+/// Time after start in which the host count may be incomplete.
 const NEW_UNTIL: Duration = Duration::from_secs(10);
 
-/// The place of a host that does not write for the fleet.
+/// Marks a host that does not write for the fleet.
 const NO_PLACE: usize = usize::MAX;
 
-/// A host that knows more than this one.
+/// A host that knows a newer version.
 #[derive(Clone, Copy, Debug)]
 struct NewerPeer {
     address: SocketAddr,
@@ -49,19 +46,19 @@
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     added_at: Instant,
-    /// When it was last heard itself.
+    /// When a datagram from it last arrived.
     pub(super) heard_at: Option<Instant>,
-    /// When a relay last named it among the hosts that it hears.
+    /// When a relay last listed it.
     named_at: Option<Instant>,
     pub(super) sent_at: Option<Instant>,
     pub(super) is_up: bool,
-    /// The short hash of its availability zone, if it is known.
+    /// Short hash of its availability zone, if known.
     pub(super) zone: Option<u32>,
     pub(super) reading: SubscriptionRole,
     pub(super) capacity_millicores: u16,
-    /// When it last spoke for its whole zone, as a relay of another one.
+    /// When it last sent its zone's aggregate, as a remote relay.
     pub(super) relayed_at: Option<Instant>,
-    /// When it last summed up the fleet for this host, as a relay of its zone.
+    /// When it last sent the fleet aggregate, as a relay of this zone.
     pub(super) summed_up_at: Option<Instant>,
 }
 
@@ -81,23 +78,22 @@
         }
     }
 
-    /// Whether it was heard itself of late.
+    /// Whether a datagram from it arrived recently.
     pub(super) fn is_heard(&self, now: Instant) -> bool {
         self.heard_at.is_some_and(|at| now - at <= SILENT_AFTER)
     }
 
-    /// Whether it spoke for its zone of late.
+    /// Whether it recently sent its zone's aggregate.
     pub(super) fn relays(&self, now: Instant) -> bool {
         self.relayed_at.is_some_and(|at| now - at <= SILENT_AFTER)
     }
 
-    /// Whether it summed up the fleet for this host of late.
+    /// Whether it recently sent the fleet aggregate.
     pub(super) fn sums_up(&self, now: Instant) -> bool {
         self.summed_up_at.is_some_and(|at| now - at <= SILENT_AFTER)
     }
 
-    /// Whether it was heard of within the time in which hosts of other zones
-    /// speak at least once.
+    /// Whether any report of it falls within the longest resend interval.
     fn is_recent(&self, now: Instant) -> bool {
         let last = self.heard_at.max(self.named_at);
         last.is_some_and(|at| now - at <= RECENT_WITHIN)
@@ -108,8 +104,8 @@
         !self.is_heard(now) && !is_named
     }
 
-    /// All that is remembered of it is older by so much than the clock says. What is
-    /// older than the clock is forgotten.
+    /// Shifts all instants back by time that the runtime's clock did not count. Those
+    /// before the clock's start are cleared.
     fn age(&mut self, by: Duration) {
         let ages = [
             &mut self.heard_at,
@@ -129,7 +125,7 @@
     }
 }
 
-/// Whether a host has come up or gone silent.
+/// A host came up or went down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MemberChange {
     pub(crate) address: SocketAddr,
@@ -139,21 +135,21 @@
 /// The other hosts as this one knows them.
 pub(crate) struct Membership {
     pub(crate) own: SocketAddr,
-    /// The short hash of this host's availability zone.
+    /// Short hash of this host's availability zone.
     pub(crate) zone: u32,
-    /// What this host may use of a processor, in thousandths of a core.
+    /// CPU capacity of this host, in thousandths of a core.
     pub(crate) capacity_millicores: u16,
-    /// Which life of the host this is.
+    /// Distinguishes restarts of this host.
     pub(crate) incarnation: u64,
     known: Mutex<HashMap<SocketAddr, Member>>,
     started_at: Instant,
-    /// Whether it is told of others at its start.
+    /// Whether seeds other than this host are configured.
     has_seeds: bool,
-    /// Whether this host, as a relay, sums up the fleet for its zone.
+    /// Whether this host sends the fleet aggregate to its zone.
     sums_up: AtomicBool,
-    /// Whether this host tells other zones of its own.
+    /// Whether this host sends aggregates to other zones.
     is_relay: AtomicBool,
-    /// This host's place among those that write for the fleet.
+    /// Rank of this host among the writers of the fleet.
     writer_place: AtomicUsize,
     newer: Mutex<Option<NewerPeer>>,
     pub(crate) newer_known: Notify,
@@ -177,8 +173,7 @@
         })
     }
 
-    /// All that is remembered of other hosts is older by so much than the runtime's
-    /// clock says.
+    /// Shifts all instants back by time that the runtime's clock did not count.
     pub(crate) fn age(&self, by: Duration) {
         self.known().values_mut().for_each(|member| member.age(by));
     }
@@ -187,18 +182,18 @@
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether this host, as a relay, sums up the fleet for its zone.
+    /// Whether this host sends the fleet aggregate to its zone.
     pub(crate) fn sums_up(&self) -> bool {
         self.sums_up.load(Ordering::Relaxed)
     }
 
-    /// Whether this host tells other zones of its own.
+    /// Whether this host sends aggregates to other zones.
     pub(crate) fn is_relay(&self) -> bool {
         self.is_relay.load(Ordering::Relaxed)
     }
 
-    /// This host's place among those that write for the fleet, 0 first; `None` if it is
-    /// none of them. It comes first until it knows of others.
+    /// Rank of this host among the writers of the fleet, 0 first; `None` if it is not a
+    /// writer. It is 0 until other hosts are known.
     pub(crate) fn writer_place(&self) -> Option<usize> {
         let place = self.writer_place.load(Ordering::Relaxed);
         (place != NO_PLACE).then_some(place)
@@ -209,14 +204,14 @@
         self.writer_place.store(place, Ordering::Relaxed);
     }
 
-    /// Says what this host does as a relay. Returns whether that changed.
+    /// Sets this host's relay roles. Returns whether they changed.
     pub(super) fn set_relay(&self, is_relay: bool, sums_up: bool) -> bool {
         let was_relay = self.is_relay.swap(is_relay, Ordering::Relaxed);
         let summed_up = self.sums_up.swap(sums_up, Ordering::Relaxed);
         was_relay != is_relay || summed_up != sums_up
     }
 
-    /// Hosts that may be there, with their zones as far as they are known.
+    /// Adds possible hosts, with their zones where known.
     pub(crate) fn add(&self, hosts: impl IntoIterator<Item = (SocketAddr, Option<u32>)>) {
         let now = Instant::now();
         let mut known = self.known();
@@ -231,7 +226,7 @@
         }
     }
 
-    /// Any host that was heard of late.
+    /// A random host that is up.
     pub(crate) fn any(&self) -> Option<SocketAddr> {
         let known = self.known();
         let up = known.iter().filter(|(_, member)| member.is_up);
@@ -239,28 +234,26 @@
         up.choose(&mut rand::rng()).copied()
     }
 
-    /// The hosts that are up, this one included.
+    /// The hosts that are up, including this one.
     pub(crate) fn up(&self) -> Vec<NamedHost> {
         self.named_if(|member| member.is_up)
     }
 
-    /// The hosts of all zones that were heard of late, this one included. Those
-    /// of other zones speak rarely in a large fleet.
+    /// The hosts of all zones with a recent report, including this one. Hosts of other
+    /// zones report rarely in a large fleet.
     pub(crate) fn recent(&self) -> Vec<NamedHost> {
         let now = Instant::now();
         self.named_if(|member| member.is_recent(now))
     }
 
-    /// Whether this host has not been up for long enough to have heard of all
-    /// others, whatever cut it off at its start.
+    /// Whether this host started too recently to know all others.
     pub(crate) fn is_new(&self) -> bool {
         self.started_at.elapsed() < NEW_UNTIL
     }
 
-    /// The hosts of this zone among which those are drawn that send to its cold
-    /// endpoints: this host and all that were heard in the last two minutes, be
-    /// they silent. None while the others may not know of this host, or while it
-    /// may not know of them.
+    /// The hosts of this zone that share the request rate of its cold endpoints, including
+    /// those silent for up to two minutes. Empty while this host and the others may not
+    /// know of each other.
     pub(super) fn cold_senders(&self, known: &HashMap<SocketAddr, Member>) -> Vec<MemberHash> {
         let was_heard = |member: &Member| member.heard_at.or(member.named_at).is_some();
         let hears_any = known.values().any(was_heard);
@@ -290,13 +283,13 @@
         named.chain([own]).collect()
     }
 
-    /// Who knows more than this host, once.
+    /// Returns and clears the host that knows a newer version.
     pub(crate) fn take_newer(&self) -> Option<SocketAddr> {
         let mut newer = self.newer.lock().unwrap_or_else(PoisonError::into_inner);
         newer.take().map(|newer| newer.address)
     }
 
-    /// A host knows more than this one. One of the same zone is rather asked.
+    /// Records a host that knows a newer version. One of the same zone is preferred.
     pub(crate) fn record_newer(&self, address: SocketAddr, zone: u32) {
         let found = NewerPeer {
             address,
@@ -310,7 +303,7 @@
         self.newer_known.notify_one();
     }
 
-    /// A host told of itself. Returns whether it had not been heard of late.
+    /// Records a heartbeat. Returns the change if the host came up.
     pub(crate) fn record_heartbeat(
         &self,
         address: SocketAddr,
@@ -328,8 +321,7 @@
         mark_up(address, member)
     }
 
-    /// A relay of this host's zone told what the zone's hosts need to know.
-    /// Returns who of them had not been heard of late.
+    /// Records a summary from a relay of this zone. Returns the hosts that came up.
     pub(crate) fn record_relay_summary(
         &self,
         address: SocketAddr,
@@ -352,7 +344,7 @@
                 .entry(named.address)
                 .or_insert_with(|| Member::new(now, Some(summary.zone)));
             member.zone = Some(summary.zone);
-            // What a host says itself goes before a relay's word of it.
+            // A host's own heartbeat takes precedence over a relay's report of it.
             if !member.is_heard(now) || named.address == address {
                 member.reading = named.reading;
                 member.capacity_millicores = named.capacity_millicores;
@@ -367,7 +359,7 @@
         news
     }
 
-    /// A host told of its whole zone.
+    /// Records an aggregate from a relay of another zone.
     pub(crate) fn record_zone_relay(&self, address: SocketAddr, zone: u32) {
         let now = Instant::now();
         let mut known = self.known();
@@ -379,14 +371,14 @@
         member.relayed_at = Some(now);
     }
 
-    /// Whether a host of a zone speaks for itself alone: not if zones tell each
-    /// other sums, and it is of another one.
+    /// Whether reports of single hosts in a zone count: always in this zone, elsewhere only
+    /// while zones do not exchange aggregates.
     pub(crate) fn counts_alone(&self, zone: u32, far_hosts: usize) -> bool {
         zone == self.zone || far_hosts == 0
     }
 }
 
-/// The short hash by which hosts name a zone.
+/// The short hash that identifies a zone in messages.
 pub(crate) fn zone_hash(zone: &ZoneId) -> u32 {
     MemberHash::of(zone.as_str()).short()
 }
@@ -396,13 +388,13 @@
     MemberHash::of(&address.to_string())
 }
 
-/// Notes that a host is up. Returns whether that is news.
+/// Marks a host as up. Returns the change if it was down.
 fn mark_up(address: SocketAddr, member: &mut Member) -> Option<MemberChange> {
     if member.is_up {
         return None;
     }
     member.is_up = true;
-    // It may not know this host yet: it is told at the next round.
+    // It may not know this host yet: report to it in the next round.
     member.sent_at = None;
     Some(MemberChange {
         address,
@@ -410,8 +402,8 @@
     })
 }
 
-/// Marks hosts that have fallen silent. Those of other zones are no news: in a
-/// large fleet they are heard by their relays.
+/// Marks silent hosts as down. Returns those of this zone only; in a large fleet the others
+/// report to their relays.
 pub(super) fn mark_silent(
     known: &mut HashMap<SocketAddr, Member>,
     zone: u32,
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams that hosts send each other.
+//! Datagrams between hosts.
 
 use std::net::SocketAddr;
 
@@ -10,122 +10,118 @@
 
 use crate::peers::rollouts::{RolloutNews, RolloutTally};
 
-/// A datagram. Hosts of other builds read it too: what has landed keeps its place and
-/// its fields, and what is new comes behind as a kind of its own, which earlier builds
-/// pass over.
+/// A datagram. Hosts of other builds decode it: existing variants and fields keep their
+/// positions, and new variants are appended, which older builds ignore.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Datagram {
-    /// From a host to those that it tells of itself.
+    /// State of one host.
     Heartbeat(Heartbeat),
     /// From a relay of one zone to those of another.
     ZoneSummary(ZoneSummary),
-    /// From a relay to the hosts of its zone: another zone's requests.
+    /// From a relay to the hosts of its zone: the aggregate of a remote zone.
     FarSum(ZoneSum),
-    /// What endpoints were newly seen to hold.
+    /// New prefix locations.
     CacheEntries(CacheEntries),
-    /// What endpoints ended under, or what ran well after all.
+    /// Suspected or cleared poison requests.
     Poison(Vec<PoisonNews>),
-    /// From a relay to the hosts of its large zone, which do not hear each
-    /// other.
+    /// From a relay to the hosts of its large zone, which do not receive each other's
+    /// heartbeats.
     RelaySummary(RelaySummary),
-    /// From a relay to the hosts of its large zone: the whole fleet's requests.
-    /// Behind it stands, for each recipient its own, an `Option<OwnReport>`:
-    /// the recipient's report that the sum includes.
+    /// From a relay to the hosts of its large zone: the fleet aggregate. An `Option` with
+    /// the ID of the recipient's own report that the aggregate includes follows it.
     FleetSum(ZoneSum),
-    /// Orders to move pools to other builds, and how far that has come.
+    /// Rollout orders and progress.
     Rollouts(RolloutNews),
-    /// What a host, or a relay of a zone, counted of a rollout's answers.
+    /// Rollout answers counted by a host or zone.
     RolloutTally(RolloutTally),
 }
 
-/// What a relay tells the hosts of its large zone in place of their heartbeats.
+/// Replaces heartbeats between the hosts of a large zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RelaySummary {
-    /// The short hash of the zone.
+    /// Short hash of the zone.
     pub(crate) zone: u32,
-    /// How the relay stands to the platform.
+    /// Subscription role of the relay.
     pub(crate) reading: SubscriptionRole,
-    /// What the relay may use of a processor, in thousandths of a core.
+    /// CPU capacity of the relay, in thousandths of a core.
     pub(crate) capacity_millicores: u16,
-    /// How long ago the platform last answered the relay or a host that told
-    /// the relay so itself.
+    /// Time since the store last answered the relay or a host that reports to it.
     pub(crate) answered_ago_ms: Option<u32>,
-    /// How long ago it last answered a host of another zone.
+    /// Time since the store last answered a host of a remote zone.
     pub(crate) far_answered_ago_ms: Option<u32>,
     pub(crate) knowledge: Knowledge,
-    /// Some of the zone's hosts that the relay hears; all in turn.
+    /// Some of the zone's hosts; successive summaries cover all.
     pub(crate) members: Vec<ZoneMember>,
 }
 
-/// A host of a zone that a relay hears.
+/// A host that reports to a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ZoneMember {
     pub(crate) address: SocketAddr,
-    /// How it stands to the platform.
+    /// Its subscription role.
     pub(crate) reading: SubscriptionRole,
-    /// What it may use of a processor, in thousandths of a core.
+    /// Its CPU capacity, in thousandths of a core.
     pub(crate) capacity_millicores: u16,
 }
 
-/// What endpoints were newly seen to hold, in a datagram of its own, so that
-/// none becomes larger than what a link carries in one piece.
+/// New prefix locations, in a separate datagram so that each fits into one packet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CacheEntries {
-    /// The short hash of the zone where it was seen.
+    /// Short hash of the zone of origin.
     pub(crate) zone: u32,
-    /// Whether this comes second hand.
+    /// Whether the entries were relayed.
     pub(crate) path: SumPath,
     pub(crate) holdings: Vec<CacheEntry>,
 }
 
-/// What a host knows, for others to compare with.
+/// Versions and state that peers compare with their own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Knowledge {
-    /// The rules that it has in force.
+    /// Version of the active rules.
     pub(crate) rules: RulesVersion,
-    /// The newest change of the list of endpoints that it knows.
+    /// Latest known version of the endpoint list.
     pub(crate) endpoints: StoreVersion,
     /// Short hashes of endpoints that are leaving.
     pub(crate) leaving: Vec<u32>,
-    /// The zones that are evacuated.
+    /// Evacuated zones.
     pub(crate) evacuations: Evacuations,
-    /// Requests that are sent no further.
+    /// Requests confirmed as poison.
     pub(crate) poison: Vec<PoisonRequest>,
 }
 
-/// A host that another one names.
+/// Address and zone of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct NamedHost {
     pub(crate) address: SocketAddr,
-    /// The short hash of its availability zone.
+    /// Short hash of its availability zone.
     pub(crate) zone: u32,
 }
 
-/// What one host tells of itself.
+/// State that one host reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
-    /// The short hash of its availability zone.
+    /// Short hash of its availability zone.
     pub(crate) zone: u32,
-    /// How it stands to the platform.
+    /// Its subscription role.
     pub(crate) reading: SubscriptionRole,
-    /// What it may use of a processor, in thousandths of a core.
+    /// Its CPU capacity, in thousandths of a core.
     pub(crate) capacity_millicores: u16,
-    /// How long ago the platform last answered it; `None` if it never did.
+    /// Time since the store last answered it; `None` if it never did.
     pub(crate) answered_ago_ms: Option<u32>,
-    /// How long ago it last answered a host of another zone, from a relay.
+    /// Time since the store last answered a host of a remote zone, from a relay.
     pub(crate) far_answered_ago_ms: Option<u32>,
     /// Its requests in progress.
     pub(crate) report: HostReport,
     pub(crate) knowledge: Knowledge,
-    /// Some hosts that it hears.
+    /// A sample of the hosts that are up.
     pub(crate) hosts: Vec<NamedHost>,
 }
 
-/// What a relay tells the other zones of its own.
+/// State that a relay reports to other zones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ZoneSummary {
     pub(crate) sum: ZoneSum,
-    /// How long ago the platform last answered a host of the zone.
+    /// Time since the store last answered a host of the zone.
     pub(crate) answered_ago_ms: Option<u32>,
     pub(crate) knowledge: Knowledge,
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,18 +1,18 @@
-//! The other hosts: who they are, what they have in progress, what they know.
+//! Exchanges load and state with the other hosts of the fleet.
 //!
-//! A few times a second each host sends others a datagram with its requests in
-//! progress by endpoint, the versions that it knows and the endpoints that it
-//! heard say they leave. Nothing is agreed and nothing is answered: a datagram
-//! that is lost is replaced by the next. A host that learns of a newer version
-//! takes it from the one that knows it.
 //!
-//! In a small fleet each host reports to all others. In a large one it reports to
-//! those of its availability zone, and two relays of each zone send the other
-//! zones the sum: what crosses zones does not grow with the square of the hosts.
-//! In a large zone hosts report to their relays alone, and relays send them the
-//! sum of the whole fleet: what a host sends and receives does not grow with the
-//! fleet but for that sum. Any host may be a relay, none is agreed on, and the sum of
-//! any one relay is enough.
+//! Each host periodically sends a datagram with its requests in progress by endpoint, the
+//! versions it knows and the endpoints that are leaving. Datagrams are not acknowledged:
+//! the next one replaces a lost one. A host that learns of a newer version pulls it from
+//! the sender.
+//!
+//!
+//! In a small fleet each host reports to all others. In a large fleet it reports to hosts
+//! of its own availability zone, and two relays of each zone send the zone's aggregate to
+//! other zones, so that cross-zone traffic does not grow quadratically. In a large zone
+//! hosts report only to their relays, which send back the aggregate of the fleet. Relays
+//! follow from each host's own view without agreement, and the aggregate of any one relay
+//! is sufficient.
 
 mod api;
 mod membership;
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -1,5 +1,4 @@
-//! Sends the other hosts what they need to know of this one and, from a relay,
-//! of its zone.
+//! Sends this host's state and, from a relay, aggregates to other hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,39 +18,32 @@
 use crate::shared::Shared;
 use crate::subscription::AnsweredHost;
 
-/// How often a host sends a round.
+/// Interval between rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS);
-/// How often while many endpoints are evacuated or cold. The others then get more
-/// requests than the pool's mean, and more that no report tells of yet. On a quiet
-/// day with one zone evacuated and one cold, 108 of 2,648 requests in five seconds
-/// went over the operators' bound on load with 200 ms, under 80 with 100 ms, and
-/// fewer homes were left: worth 0.750 and 0.754 (routing's test of decisions:
-/// 14.4 and 5.8 % go over it where half of the endpoints are closed).
+/// Interval while many endpoints are closed: the open ones then receive more requests
+/// between two reports.
 const CROWDED_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS / 2);
-/// Prefixes that a datagram names: about 1 KB.
+/// Cache entries in a datagram of about 1 KB.
 const ENTRIES_PER_DATAGRAM: usize = 96;
-/// Endpoints whose requests a datagram counts: about 1 KB.
+/// Endpoint load counts in a datagram of about 1 KB.
 const COUNTS_PER_DATAGRAM: usize = 128;
-/// Endpoints that are leaving in one datagram, of 5 bytes each; the others follow in the
-/// next rounds. What does not fit into one packet is lost with any part of it: 300 that
-/// leave made each heartbeat larger than 1,500 bytes.
+/// Keeps a heartbeat within one packet at 5 bytes each; the rest follows in the next
+/// rounds.
 const LEAVING_PER_DATAGRAM: usize = 64;
-/// Requests that are sent no further in one datagram, of 14 bytes each; those that
-/// came again last go first. The others are told once when they are found, and to
-/// whoever asks for all.
+/// Poison requests in each heartbeat, 14 bytes each, most recently repeated first. Others
+/// are sent once when found, and on request.
 const POISON_PER_DATAGRAM: usize = 16;
-/// What is told in a round of requests under which endpoints ended: 16 bytes each.
+/// Poison updates in a round, 16 bytes each.
 const POISON_NEWS_PER_DATAGRAM: usize = 60;
-/// Datagrams of prefixes in a round.
+/// Cache entry datagrams in a round.
 const ENTRY_DATAGRAMS: usize = 3;
-/// Datagrams of a relay's sum in one interval; a larger sum is sent less often.
+/// Datagrams of an aggregate in a round; a larger aggregate is sent less often.
 const SUM_DATAGRAMS_PER_ROUND: usize = 4;
-/// Most intervals between two sums: what a host hears less often would be too
-/// old to go by before a lost one is replaced.
+/// Bounds the age of an aggregate after a lost datagram.
 const ROUNDS_A_SUM_MAX: u64 = 3;
 
-/// Sends rounds of datagrams until the process ends, one more whenever there is
-/// news.
+/// Sends rounds of datagrams until the process ends, and an extra one for each urgent
+/// update.
 pub(crate) async fn publish(shared: Arc<Shared>, peers: Arc<Membership>, socket: Arc<UdpSocket>) {
     let mut ticks = tokio::time::interval(ROUND_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -125,7 +117,7 @@
     }
 }
 
-/// In how many rounds a sum of so many datagrams is sent once.
+/// Rounds between two sends of an aggregate of so many datagrams.
 fn rounds_for(datagrams: usize) -> u64 {
     let rounds = datagrams.div_ceil(SUM_DATAGRAMS_PER_ROUND).max(1) as u64;
     rounds.min(ROUNDS_A_SUM_MAX)
@@ -141,8 +133,8 @@
     }
 }
 
-/// Sends a part of the fleet's sum, and behind it to each host the report of
-/// its own that the sum includes.
+/// Sends a chunk of the fleet aggregate; the ID of the recipient's own report that it
+/// includes follows it.
 fn send_sum(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
     let Ok(mut bytes) = postcard::to_stdvec(datagram) else {
         return;
@@ -194,17 +186,17 @@
 /// The datagrams of a round.
 #[derive(Default)]
 struct RoundDatagrams {
-    /// To the hosts that receive this one's heartbeat.
+    /// To the recipients of the heartbeat.
     near: Vec<Datagram>,
-    /// To relays of other zones, if this host is one.
+    /// To relays of other zones, if this host is a relay.
     far: Vec<Datagram>,
     /// To hosts of a large zone, if this host is its relay.
     to_zone: Vec<Datagram>,
-    /// The same; each recipient finds its own report behind it.
+    /// The same, followed by the ID of each recipient's own report.
     sums: Vec<Datagram>,
 }
 
-/// What to send of this host and, if it is a relay, of its zone.
+/// Builds the datagrams of a round.
 fn datagrams_of(
     shared: &Shared,
     peers: &Membership,
@@ -301,7 +293,7 @@
     datagrams
 }
 
-/// Of endpoints that are leaving those whose turn it is in a round.
+/// The endpoints that are leaving to include in a round, in rotation.
 fn in_turn(mut leaving: Vec<u32>, sequence: u64) -> Vec<u32> {
     let turns = leaving.len().div_ceil(LEAVING_PER_DATAGRAM).max(1);
     if turns == 1 {
@@ -313,7 +305,7 @@
     of_turn.take(LEAVING_PER_DATAGRAM).collect()
 }
 
-/// A sum in parts of a datagram each.
+/// Splits an aggregate into chunks of one datagram each.
 fn parts(sum: ZoneSum) -> impl Iterator<Item = ZoneSum> {
     sum.split(COUNTS_PER_DATAGRAM).into_iter()
 }
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -1,4 +1,4 @@
-//! Takes what a host is missing from another one.
+//! Pulls missing state from other hosts.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,41 +24,33 @@
 use crate::shared::Shared;
 use crate::source::{EndpointChange, ListedEndpoint};
 
-/// A host that does not read the platform waits this long, so that it may learn
-/// of a host of its own zone that knows as much.
+/// Delay before a pull, in which a host of the same zone may become a source.
 const GATHER: Duration = Duration::from_millis(80);
-/// How often a host that knows nothing asks.
+/// Interval between pulls while this host has no view.
 const ASK_EVERY: Duration = Duration::from_millis(500);
-/// How often a host that starts asks the hosts of its settings at first, and at
-/// last: pauses double, and each is drawn from there to twice as long. Where all
-/// restart these few are asked by every one, and 300 hosts that asked them each
-/// 100 ms kept them from passing anything on.
+/// Initial and final pause between queries of the seeds; each is multiplied by a random
+/// factor from 1 to 2. Backoff keeps the seeds responsive when the whole fleet restarts.
 const ASK_SEEDS_FIRST: Duration = Duration::from_millis(50);
 const ASK_SEEDS_LAST: Duration = Duration::from_millis(400);
-/// How long it waits for the first byte of their answers.
+/// Timeout for the first byte of a seed's response.
 const SEED_TIMEOUT: Duration = Duration::from_millis(200);
-/// When a host that has started asks once more which hosts there are: where all
-/// have restarted, none knew them at first.
+/// Delays before the hosts are queried again after start; when all hosts restart, the seeds
+/// know few at first.
 const ASK_HOSTS_AFTER: [Duration; 3] = [
     Duration::from_millis(250),
     Duration::from_millis(400),
     Duration::from_millis(900),
 ];
-/// Pause, in milliseconds, before a host that is busy is asked again, or
-/// another one that it named; each pause is drawn. A transfer of 80 KB takes
-/// 65 ms on a link of 10 Mbit/s.
+/// Random pause, in milliseconds, before a busy host or an alternative is queried.
 const BUSY_PAUSE_MS: RangeInclusive<u64> = 20..=100;
-/// How often hosts that are busy are asked before others are: for three
-/// seconds in the mean.
+/// Attempts while hosts are busy, about three seconds in total.
 const BUSY_TRIES: usize = 50;
 
-/// Asks the hosts of the settings for all that they know, until this host can
-/// serve.
+/// Queries the seeds until this host has a complete view.
 pub(crate) async fn pull_at_start(shared: Arc<Shared>, peers: Arc<Membership>) {
     let mut pause = ASK_SEEDS_FIRST;
     while !shared.has_view() {
-        // What still arrives when the view is known from elsewhere is not
-        // waited for: it would fill this host's link and the other's.
+        // Cancels transfers once the view is complete, which frees both links.
         tokio::select! {
             () = shared.view_known() => {}
             () = pull_from_seeds(&shared, &peers) => {}
@@ -70,7 +62,7 @@
         }
         pause = (2 * pause).min(ASK_SEEDS_LAST);
     }
-    // Sends a heartbeat to the hosts that were named.
+    // Sends a heartbeat to the newly added hosts.
     shared.publish_now.notify_one();
     for pause in ASK_HOSTS_AFTER {
         tokio::time::sleep(pause).await;
@@ -79,8 +71,8 @@
     }
 }
 
-/// Asks all hosts of the settings together, until one passes on all it takes to
-/// serve, and then one of those that they name while they are busy.
+/// Queries all seeds at once until one completes the view, and then an alternative that a
+/// busy seed named.
 async fn pull_from_seeds(shared: &Shared, peers: &Membership) {
     let seeds = shared.config.peer_seeds.iter();
     let others = seeds.filter(|seed| **seed != peers.own);
@@ -104,9 +96,9 @@
     }
 }
 
-/// Pulls from another host whenever one knows more, until the process ends.
+/// Pulls whenever another host knows a newer version, until the process ends.
 pub(crate) async fn pull_when_behind(shared: Arc<Shared>, peers: Arc<Membership>) {
-    // The platform may answer within this, which costs no transfer.
+    // The store may answer within this time, which saves a transfer.
     let patience = ms(shared.config.follow.patience_ms);
     'behind: loop {
         let asked = tokio::time::timeout(ASK_EVERY, peers.newer_known.notified());
@@ -124,20 +116,19 @@
         let Some(first) = peers.take_newer().or_else(|| peers.any()) else {
             continue;
         };
-        // Whoever knows more may have gone meanwhile; by now others know it too.
+        // The first host may be down; others know the version by now.
         let second = peers.any().filter(|address| *address != first);
         for address in [Some(first), second].into_iter().flatten() {
             if catch_up(&shared, &peers, address).await != CaughtUp::No {
                 continue 'behind;
             }
         }
-        // No host that knows more can be reached: the platform may be.
+        // No host with the newer version is reachable; the store may be.
         shared.subscription.read_again();
     }
 }
 
-/// Takes what is missing from one of two other hosts, any of them. Returns whether
-/// one could be asked that did not stand still itself.
+/// Pulls from up to two random hosts. Returns whether one of them had a fresh view.
 pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &Membership) -> bool {
     const TRIES: usize = 2;
     for _ in 0..TRIES {
@@ -151,19 +142,19 @@
     false
 }
 
-/// What became of taking what is missing.
+/// Outcome of a pull.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CaughtUp {
-    /// The host was not busy, and did not stand still of late.
+    /// The host had a complete view and was not suspended recently.
     WithFresh,
-    /// It was not busy.
+    /// The host answered without a fresh view.
     WithStale,
-    /// It could not be asked, or was busy for too long.
+    /// The host was unreachable or busy for too long.
     No,
 }
 
-/// Takes what is missing from a host that knows more, and from those it names
-/// while it is busy.
+/// Pulls from a host with a newer version, and from the alternatives that it names while it
+/// is busy.
 async fn catch_up(shared: &Shared, peers: &Membership, first: SocketAddr) -> CaughtUp {
     let first_byte = ms(shared.config.follow.pull_timeout_ms);
     let mut from = first;
@@ -173,7 +164,7 @@
             if from == first {
                 return CaughtUp::No;
             }
-            // One that it named has gone.
+            // The alternative is unreachable.
             from = first;
             continue;
         };
@@ -195,12 +186,12 @@
     CaughtUp::No
 }
 
-/// Whether a host that was busy still knows more.
+/// Whether a busy host still has a newer version.
 fn is_behind(shared: &Shared, busy: &Busy) -> bool {
     busy.rules > shared.rules.version() || busy.endpoints > shared.fleet().endpoints_version
 }
 
-/// Another host that may know as much as one that is busy.
+/// A random alternative to a busy host.
 fn named_by(busy: &Busy, peers: &Membership) -> Option<SocketAddr> {
     let others = busy.ask.iter().filter(|address| **address != peers.own);
     others.choose(&mut rand::rng()).copied()
@@ -217,7 +208,7 @@
     }
 }
 
-/// Takes from another host what this one is missing, and logs what became of it.
+/// Pulls from another host and logs the outcome.
 async fn pull(
     shared: &Shared,
     from: SocketAddr,
@@ -258,9 +249,8 @@
     missing
 }
 
-/// Asks another host for what this one is missing. What else it knows of endpoints is
-/// asked first: a list that has come is then used at once. A host of an earlier build
-/// breaks off at that, and is asked for the rest alone.
+/// Requests supplementary state first, so that a received list is complete. An older build
+/// closes the connection on that call and is asked for the rest alone.
 async fn ask(address: SocketAddr, have: Have, count: Arc<ByteCount>) -> Option<(Missing, Besides)> {
     let client = connect(address, count.clone()).await?;
     if let Ok(besides) = client.besides(tarpc::context::current()).await {
@@ -278,8 +268,7 @@
     Some(PeerApiClient::new(tarpc::client::Config::default(), framed).spawn())
 }
 
-/// Takes what another host passed on. Returns what it says of itself if it was
-/// too busy to pass on all.
+/// Applies a response. Returns the busy response if it was incomplete.
 fn take(
     shared: &Shared,
     peers: &Membership,
@@ -288,7 +277,7 @@
     const FROM: &str = "peer";
     let hosts = missing.hosts.iter();
     peers.add(hosts.map(|host| (host.address, Some(host.zone))));
-    // Before the endpoints, so that none of an evacuated zone is sent anything.
+    // Evacuations come before endpoints, so that no evacuated endpoint receives requests.
     let mut is_news = shared.take_evacuations(&missing.evacuations, FROM);
     is_news |= shared.merge_poison(&missing.poison, FROM);
     if let Some(rollouts) = besides.rollouts {
@@ -305,13 +294,13 @@
         shared.endpoints_known();
     }
     if is_news && shared.subscription.is_relay() {
-        // The hosts of a large zone learn of it from their relays only.
+        // The hosts of a large zone learn of it only from their relays.
         shared.publish_now.notify_one();
     }
     missing.busy
 }
 
-/// The list of endpoints with the software that each runs, as far as it was told.
+/// Sets the builds of endpoints where they are known.
 fn with_builds(mut news: EndpointNews, builds: &KnownBuilds) -> EndpointNews {
     let others: HashMap<u32, &BuildVersion> = builds
         .others
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Receives what the other hosts send and merges it into what this one knows.
+//! Receives datagrams from other hosts and merges them into this host's view.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,9 +17,9 @@
 use crate::shared::Shared;
 use crate::subscription::AnsweredHost;
 
-/// Largest datagram that is read.
+/// Largest datagram that is received.
 const DATAGRAM_MAX_BYTES: usize = 60 * 1024;
-/// Pause after the system could not receive.
+/// Delay after a failed receive.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(200);
 
 /// Receives datagrams until the process ends.
@@ -40,7 +40,7 @@
             continue;
         }
         let Ok((datagram, rest)) = postcard::take_from_bytes(&buffer[..length]) else {
-            // What can't be read is not from a host of this fleet and version.
+            // Not from a host of this fleet with a compatible version.
             shared.metrics.count("peer_garbage_total", "", 1);
             continue;
         };
@@ -60,7 +60,7 @@
     }
 }
 
-/// A relay of this host's zone told what the zone's hosts need to know.
+/// Merges a summary from a relay of this zone.
 fn merge_relay_summary(
     shared: &Shared,
     peers: &Membership,
@@ -74,16 +74,16 @@
         log_member_change(shared, news);
     }
     if !peers.sums_up() {
-        // Relays hear first hand what each other's summaries say, and would
-        // keep each other's word alive.
+        // Relays receive these reports directly; taking them from each other would keep
+        // outdated ones alive.
         merge_answered(shared, AnsweredHost::Near, summary.answered_ago_ms);
         merge_answered(shared, AnsweredHost::Far, summary.far_answered_ago_ms);
     }
     merge_knowledge(shared, peers, relay, summary.zone, &summary.knowledge);
 }
 
-/// A relay of this host's zone told the fleet's requests; `rest` is the report
-/// of this host that the sum includes, if any.
+/// Merges a fleet aggregate from a relay of this zone; `rest` encodes the ID of this host's
+/// own report that it includes, if any.
 fn merge_fleet_sum(
     shared: &Shared,
     peers: &Membership,
@@ -148,7 +148,7 @@
     merge_knowledge(shared, peers, address, zone, &heartbeat.knowledge);
 }
 
-/// Another host tells how long ago the platform answered.
+/// Merges a report of the store's last answer.
 fn merge_answered(shared: &Shared, whom: AnsweredHost, ago_ms: Option<u32>) {
     let gained = shared.store_answered_any(whom, ago_ms);
     if shared
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of rollouts.
+//! Exchange of rollout state between hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::rollouts::KnownRecord;
 use crate::shared::Shared;
 
-/// Rows of counts in a datagram: about 1 KB.
+/// Tally rows in a datagram of about 1 KB.
 const ROWS_PER_DATAGRAM: usize = 24;
 
-/// Orders to move pools to other builds, and how far that has come.
+/// Rollout orders and progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RolloutNews {
     pub(crate) orders: RolloutOrders,
@@ -27,47 +27,47 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PoolRollout {
     pub(crate) pool: PoolId,
-    /// The order, and how old it is.
+    /// Version and age of the order.
     pub(crate) order: StoreVersion,
     pub(crate) age_ms: u64,
-    /// The record in force, and its version at the store.
+    /// The current record and its version in the store.
     pub(crate) record: Option<(RolloutRecord, StoreVersion)>,
 }
 
-/// Counts of a rollout's answers, or some rows of them.
+/// Answers counted for a rollout, or some rows of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RolloutTally {
     pub(crate) pool: PoolId,
     pub(crate) order: StoreVersion,
-    /// The short hash of the zone that the host is of, or that is summed up.
+    /// Short hash of the zone of the host or aggregate.
     pub(crate) zone: u32,
     pub(crate) of: TallyOf,
     pub(crate) rows: Vec<TallyRow>,
-    /// How long the longest request of each route stayed, in milliseconds.
+    /// Longest service time of each route, in milliseconds.
     pub(crate) longest_stays_ms: Vec<(Arc<str>, u64)>,
 }
 
-/// Whose counts these are.
+/// Scope of a tally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum TallyOf {
-    /// The sender's, in one life.
+    /// The sender, in one incarnation.
     Host { incarnation: u64 },
-    /// All hosts of the sender's zone that it hears.
+    /// All hosts of the sender's zone that report to it.
     Zone,
 }
 
-/// What to tell of rollouts in a round.
+/// Rollout datagrams of a round.
 #[derive(Debug, Default)]
 pub(super) struct RolloutDatagrams {
-    /// To whoever is sent this host's heartbeat.
+    /// To the recipients of the heartbeat.
     pub(super) near: Vec<Datagram>,
-    /// To relays of other zones, if this host is one.
+    /// To relays of other zones, if this host is a relay.
     pub(super) far: Vec<Datagram>,
     /// To the hosts of a large zone, if this host is its relay.
     pub(super) to_zone: Vec<Datagram>,
 }
 
-/// What is known of rollouts, to pass on; `None` where none is known.
+/// The known rollouts, to send to another host; `None` if there are none.
 pub(super) fn news_of(fleet: &Fleet, now_ms: u64) -> Option<RolloutNews> {
     let rollouts = &fleet.rollouts;
     if rollouts.is_empty() {
@@ -89,7 +89,7 @@
     })
 }
 
-/// The datagrams of a round.
+/// Builds the rollout datagrams of a round.
 pub(super) fn rollout_datagrams(
     fleet: &Fleet,
     peers: &Membership,
@@ -144,7 +144,7 @@
     datagrams
 }
 
-/// Another host told of rollouts. A relay passes on what is news.
+/// Merges rollout state from a peer. A relay passes on what is new.
 pub(super) fn merge_news(shared: &Shared, news: RolloutNews, passes_on: bool) {
     const FROM: &str = "peer";
     let mut is_news = shared.take_rollout_orders(&news.orders, FROM);
@@ -168,7 +168,7 @@
     }
 }
 
-/// Another host, or a relay of another zone, told what it counted.
+/// Merges a tally from a host or from a relay of another zone.
 pub(super) fn merge_tally(
     shared: &Shared,
     peers: &Membership,
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -1,11 +1,10 @@
-//! The recipients of one gossip round, and what this host does for its zone: to
-//! read the platform, and to relay.
+//! Recipients of one gossip round, and this host's roles in its zone.
 //!
-//! In a large zone hosts report to relays only. Who sums up for whom follows
-//! from what each host hears, and nothing is agreed: a host that hears a relay
-//! sum up the fleet reports to relays, one that hears none reports to all, and
-//! a relay sums up once its zone is large. So where all relays of a zone fall
-//! silent at once, its hosts tell each other all until new relays speak.
+//!
+//! Roles follow from each host's own view, without agreement. A host reports only to relays
+//! while it receives fleet aggregates from them, and otherwise to all hosts of its zone. If
+//! all relays of a zone fail at once, its hosts exchange heartbeats until new relays take
+//! over.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -19,77 +18,74 @@
 use crate::peers::membership::{Member, MemberChange, Membership, host_hash, mark_silent};
 use crate::peers::message::{NamedHost, ZoneMember};
 
-/// How often a host that does not answer is told.
+/// Interval between heartbeats to a host that is down.
 const SILENT_RESEND_INTERVAL: Duration = Duration::from_secs(2);
-/// How often a host of another zone, or of a zone that relays sum up, is told,
-/// so that the two do not forget each other.
+/// Interval between heartbeats to hosts of other zones, or within a zone served by relays,
+/// so that they do not forget each other.
 const FAR_RESEND_INTERVAL: Duration = Duration::from_secs(30);
-/// Hosts that a datagram names, so that all find each other.
+/// Hosts listed in a heartbeat for discovery.
 const NAMED_MAX: usize = 4;
-/// Hosts of each other zone that a relay tells.
+/// Relays of each other zone that receive the aggregate.
 const GOSSIP_FAN_OUT: usize = 2;
-/// Zones whose readers take changes as soon as they can; those of the others
-/// hear of most from these.
+/// Zones whose subscribers read changes without delay; those of other zones are standbys.
 const ZONES_READING_FIRST: usize = 2;
-/// Rounds in which a relay names all hosts of its zone.
+/// Rounds in which a relay lists all hosts of its zone once.
 const ROUNDS_TO_NAME_ALL: usize = 5;
-/// Rounds in which a relay sends its sum once to hosts that go by another relay.
-/// They fall back on it when that one is silent.
+/// A host receives the standby relay's aggregate once in this many sends.
 const STANDBY_ROUNDS: u64 = 3;
 
-/// What a host knows and does as a round begins.
+/// State of this host at the start of a round.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RoundInput {
-    /// The number of the round.
+    /// Number of regular rounds so far.
     pub(crate) number: u64,
-    /// Whether there is news that all should have at once.
+    /// Whether an update must reach all recipients at once.
     pub(crate) is_news: bool,
-    /// Rounds in which a relay sends its sum once: more for a large sum.
+    /// Rounds between two aggregates; more for a large one.
     pub(crate) rounds_a_sum: u64,
-    /// How this host stands to the platform.
+    /// Subscription role of this host.
     pub(crate) reading: SubscriptionRole,
-    /// Hosts whose requests are known, this one included.
+    /// Hosts whose load is known, this one included.
     pub(crate) hosts_known: usize,
-    /// Whether this host goes by what relays of its zone sum up.
+    /// Whether this host uses the fleet aggregate of its zone's relays.
     pub(crate) goes_by_totals: bool,
 }
 
-/// The recipients of one gossip round.
+/// Recipients and roles of one gossip round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GossipRound {
     /// Recipients of this host's heartbeat.
     pub(crate) due: Vec<SocketAddr>,
-    /// Hosts to name to them, which they may not know.
+    /// Hosts listed in the heartbeat.
     pub(crate) named: Vec<NamedHost>,
-    /// Hosts of other zones to tell of this zone, if this host is a relay.
+    /// Relays of other zones that receive this zone's aggregate, if this host is a relay.
     pub(crate) far: Vec<SocketAddr>,
-    /// Hosts of the own zone to send the sum of the fleet, if this host is a
-    /// relay of a large zone.
+    /// Hosts of this zone that receive the fleet aggregate, if this host is a relay of a
+    /// large zone.
     pub(crate) sum_to: Vec<SocketAddr>,
-    /// Hosts of the zone to name to these.
+    /// Hosts listed in the relay's summary.
     pub(crate) members: Vec<ZoneMember>,
     pub(crate) reads_platform: bool,
-    /// Whether this host comes among the first to read, whoever does so far.
+    /// Whether this host would be a subscriber if there were none yet.
     pub(crate) is_first_choice: bool,
-    /// Whether readers of other zones come first.
+    /// Whether subscribers of other zones read first.
     pub(crate) is_standby: bool,
     pub(crate) is_relay: bool,
-    /// Whether what this host does as a relay has changed.
+    /// Whether this host's relay roles changed.
     pub(crate) is_relay_news: bool,
-    /// Whether this host, as a relay, sums up the fleet for its zone.
+    /// Whether this host sends the fleet aggregate to its zone.
     pub(crate) sums_up: bool,
     pub(crate) gone: Vec<MemberChange>,
-    /// Hosts that share the reading: all of a small fleet, the readers of a
-    /// large one.
+    /// Hosts that share the store subscription.
     pub(crate) sharing: usize,
-    /// All hosts that are known.
+    /// All known hosts.
     pub(crate) hosts: usize,
-    /// The hosts among which those are drawn that send to cold endpoints.
+    /// The hosts that share the request rate of cold endpoints.
     pub(crate) cold_senders: Vec<MemberHash>,
 }
 
 impl Membership {
-    /// Works out the recipients of the next round and this host's roles.
+    /// Computes the recipients of the next round and this host's roles.
     pub(crate) fn round(&self, input: &RoundInput) -> GossipRound {
         let now = Instant::now();
         let named = self.named();
@@ -144,7 +140,7 @@
         round
     }
 
-    /// Some hosts that are up, any of them.
+    /// A random sample of the hosts that are up.
     fn named(&self) -> Vec<NamedHost> {
         let up = self.up();
         up.sample(&mut rand::rng(), NAMED_MAX).copied().collect()
@@ -204,8 +200,8 @@
         due
     }
 
-    /// The hosts of the zone that are sent a relay's sum in this round. Each
-    /// goes by one of the two relays, and hears the other every few rounds.
+    /// The hosts of the zone that receive a relay's aggregate in this round. Each has one
+    /// primary relay and receives the other's every few rounds.
     fn sum_to(
         &self,
         known: &HashMap<SocketAddr, Member>,
@@ -225,8 +221,7 @@
         due.map(|(address, _)| *address).collect()
     }
 
-    /// The hosts of the zone to name in a round: those that this host hears
-    /// itself, all in turn.
+    /// The hosts to list in a round: those with recent heartbeats, in rotation.
     fn members(
         &self,
         known: &HashMap<SocketAddr, Member>,
@@ -250,9 +245,8 @@
         of_turn.collect()
     }
 
-    /// The hosts of each other zone that pass on what they are told: those that
-    /// spoke for it, else those that come first by rank, and one at random in
-    /// case these are gone.
+    /// The recipients in each other zone: its active relays, or else the hosts most likely
+    /// to become relays and a random one in case these are down.
     fn far_relays(&self, known: &HashMap<SocketAddr, Member>, now: Instant) -> Vec<SocketAddr> {
         let mut by_zone: BTreeMap<u32, Vec<(&SocketAddr, &Member)>> = BTreeMap::new();
         for (address, member) in known {
@@ -285,7 +279,7 @@
     others: Vec<HeardHost>,
     hosts: usize,
     zones: usize,
-    /// Zones that come before the host's own, by their hashes.
+    /// Zones with a lower hash than this one.
     zones_before: usize,
 }
 
@@ -307,13 +301,12 @@
     }
 }
 
-/// The order in which equally strong hosts become relays, the same as among
-/// themselves.
+/// Ranks hosts of equal capacity, as their own zone does.
 fn rank(address: &SocketAddr) -> f64 {
     score(KeyHash(0), host_hash(address), 1.0)
 }
 
-/// The place of the relay that a host goes by.
+/// The rank of a host's primary relay.
 fn relay_of(address: &SocketAddr) -> usize {
     host_hash(address).short() as usize % RELAYS
 }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! Answers other hosts that ask what they are missing, over tarpc.
+//! Answers pull requests of other hosts, over tarpc.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,19 +21,17 @@
 use crate::rules_in_force::RulesNews;
 use crate::shared::Shared;
 
-/// Pause after the system could not accept.
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(500);
-/// A host that knows of no more than one in so many is sent the names of all.
+/// A requester that knows at most the host count divided by this receives all hosts.
 const FEW_PART: usize = 2;
-/// Routes, organisations and endpoints that are passed on to any number of
-/// hosts at once: some 16 KB, or 13 ms of a link of 10 Mbit/s. A host that
-/// starts before 160 endpoints takes all from the first that it asks.
+/// Responses with at most this many entries, about 16 KB, need no transfer slot.
 const SMALL_ENTRIES: usize = 256;
 
-/// Requests that are sent no further, as far as an answer names them: 14 KB.
+/// Poison requests in a response, 14 KB at most.
 const POISON_MAX: usize = 1_024;
 
-/// Answers other hosts, until the process ends.
+/// Answers other hosts until the process ends.
 pub(crate) async fn serve_pulls(
     shared: Arc<Shared>,
     peers: Arc<Membership>,
@@ -53,8 +51,8 @@
     }
 }
 
-/// Answers one connection until it is closed, or until nothing moves on it: a
-/// host that has gone shall not keep others from their turn.
+/// Answers one connection until it closes or stalls, so that an unreachable host does not
+/// hold a transfer slot.
 async fn serve(answers: Answers, stream: TcpStream) {
     let count = Arc::new(ByteCount::default());
     let stall = ms(answers.shared.config.follow.stall_ms);
@@ -81,8 +79,7 @@
     shared: Arc<Shared>,
     peers: Arc<Membership>,
     uploads: Arc<Uploads>,
-    /// Held from an answer with many entries until the connection ends, as it
-    /// does when the answer has arrived.
+    /// Transfer slot of a large response, held until the connection ends.
     upload: Arc<Mutex<Option<OwnedSemaphorePermit>>>,
 }
 
@@ -118,8 +115,8 @@
 }
 
 impl Answers {
-    /// An answer as it may be sent now: what is large only while few such are
-    /// on their way.
+    /// Limits concurrent large responses: without a free slot, returns only small parts and
+    /// a busy response.
     fn within_uploads(&self, missing: Missing, to: SocketAddr) -> Missing {
         let rules = missing.rules.as_ref().map_or(0, RulesNews::entries);
         let endpoints = missing.endpoints.as_ref().map_or(0, EndpointNews::entries);
@@ -146,7 +143,7 @@
     }
 }
 
-/// What another host is missing of the list, given the version that it has.
+/// The endpoint list entries that a host at a version is missing.
 fn endpoint_news(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointNews> {
     if !shared.knows_endpoints() {
         return None;
--- a/crates/gateway/src/peers/uploads.rs
+++ b/crates/gateway/src/peers/uploads.rs
@@ -1,9 +1,8 @@
-//! Bounds how many hosts are passed much at once.
+//! Limits concurrent large transfers to other hosts.
 //!
-//! All hosts of a zone learn of new rules from the same one or two, at the same
-//! moment, and hosts that start together ask the same few for all they know. If all were answered together each would wait for the last, and the
-//! callers of the one that answers with them. A few at a time are served
-//! fast, and serve the others.
+//!
+//! Many hosts request the same state at once, after a rules change or a restart. A few
+//! transfers at a time complete quickly, and their recipients then serve the others.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,20 +11,19 @@
 use chalkrock_routing::RulesVersion;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Hosts that are remembered to have taken much, and named to others.
+/// Recent recipients that are offered as alternatives.
 const TAKERS_MAX: usize = 8;
 
 /// Transfers of large rules and lists to other hosts.
 #[derive(Debug)]
 pub(crate) struct Uploads {
     permits: Arc<Semaphore>,
-    /// Which hosts began a transfer last, and at which version of the rules,
-    /// oldest first.
+    /// Recent recipients and the rules version of their transfer, oldest first.
     takers: Mutex<VecDeque<(RulesVersion, SocketAddr)>>,
 }
 
 impl Uploads {
-    /// So many at once.
+    /// Allows `most` concurrent transfers.
     pub(crate) fn new(most: usize) -> Self {
         Self {
             permits: Arc::new(Semaphore::new(most)),
@@ -33,8 +31,8 @@
         }
     }
 
-    /// Begins a transfer to a host, at a version of the rules, if there is room.
-    /// It ends when the permit is dropped.
+    /// Begins a transfer at a rules version if a slot is free. It ends when the permit is
+    /// dropped.
     pub(crate) fn begin(
         &self,
         version: RulesVersion,
@@ -49,7 +47,7 @@
         Some(permit)
     }
 
-    /// Hosts that have a version of the rules by a transfer, or soon will.
+    /// Recent recipients of a rules version.
     pub(crate) fn takers(&self, version: RulesVersion) -> Vec<SocketAddr> {
         let takers = self.takers.lock().unwrap_or_else(PoisonError::into_inner);
         let of_version = takers.iter().filter(|(taken, _)| *taken == version);
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -1,22 +1,22 @@
-//! What a host believes of prefixes, and what of it the others don't know.
+//! Known prefix locations and pending updates to other hosts.
 
 use chalkrock_routing::{CacheEntry, PrefixDirectory};
 
-/// Prefixes that wait to be told.
+/// Maximum pending entries of each kind.
 const PENDING_MAX: usize = 2_048;
 
-/// What the other hosts are to be told of prefixes.
+/// Cache entries to send to other hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingUpdates {
-    /// Those that this host tells of itself.
+    /// Local entries.
     pub(crate) near: Vec<CacheEntry>,
-    /// The other zones, if this host is a relay.
+    /// Entries for other zones, if this host is a relay.
     pub(crate) far: Vec<CacheEntry>,
-    /// What the other zones told, for the hosts of this one.
+    /// Entries from other zones, for hosts of this one.
     pub(crate) relayed: Vec<CacheEntry>,
 }
 
-/// Prefixes and who holds them.
+/// Prefix locations and pending updates.
 #[derive(Debug, Default)]
 pub(crate) struct Prefixes {
     map: PrefixDirectory,
@@ -24,12 +24,12 @@
 }
 
 impl Prefixes {
-    /// Who holds what.
+    /// The directory of prefix holders.
     pub(crate) fn map(&self) -> &PrefixDirectory {
         &self.map
     }
 
-    /// An endpoint answers a request, and so holds the parts of its prompt.
+    /// Records that an endpoint holds the prompt's prefixes after it answers.
     pub(crate) fn note(&mut self, parts: &[u32], endpoint: u32, now_ms: u64) {
         for &part in parts {
             let holding = CacheEntry { part, endpoint };
@@ -40,8 +40,8 @@
         }
     }
 
-    /// A host told what endpoints hold; the other zones may not know it, nor
-    /// may the hosts of this one if it is for this host to tell them.
+    /// Merges entries from a host of the same zone and queues them for other zones; a relay
+    /// of a large zone also queues them for its own.
     pub(crate) fn merge_near(&mut self, holdings: &[CacheEntry], sums_up: bool, now_ms: u64) {
         for holding in holdings {
             if self.map.merge(*holding, now_ms) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Another zone told what endpoints hold; this zone may not know it.
+    /// Merges entries from a remote zone and queues them for this one.
     pub(crate) fn merge_far(&mut self, holdings: &[CacheEntry], now_ms: u64) {
         for holding in holdings {
             if self.map.merge(*holding, now_ms) {
@@ -62,15 +62,15 @@
         }
     }
 
-    /// A relay of this zone passed on what endpoints hold.
+    /// Merges entries that a relay of this zone passed on.
     pub(crate) fn merge_relayed(&mut self, holdings: &[CacheEntry], now_ms: u64) {
         for holding in holdings {
             self.map.merge(*holding, now_ms);
         }
     }
 
-    /// What to tell, once: so many of each kind, the rest later. What waits is
-    /// bounded, and the oldest of it is never told.
+    /// Takes up to `most` pending entries of each kind and drops the oldest beyond the
+    /// bound.
     pub(crate) fn take_pending(&mut self, most: usize) -> PendingUpdates {
         let take = |waiting: &mut Vec<CacheEntry>| {
             let too_old = waiting.len().saturating_sub(PENDING_MAX);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Drops what is no longer true, now and then.
+    /// Drops outdated entries.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         self.map.expire(now_ms);
     }
--- a/crates/gateway/src/rules_in_force.rs
+++ b/crates/gateway/src/rules_in_force.rs
@@ -1,4 +1,4 @@
-//! The rules in force, and what led to them.
+//! The active rules and their recent changes.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,17 +6,17 @@
 use chalkrock_routing::{Rules, RulesChange, RulesDocument, RulesHistory, RulesVersion};
 use serde::{Deserialize, Serialize};
 
-/// Rules as one host passes them on to another.
+/// Rules that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum RulesNews {
-    /// The whole document.
+    /// The full document.
     Entire(Arc<RulesDocument>),
-    /// What changed since the version that the other host has, oldest first.
+    /// Changes since the recipient's version, oldest first.
     Changes(Vec<Arc<RulesChange>>),
 }
 
 impl RulesNews {
-    /// Routes and organisations that it names.
+    /// Number of routes and organisations in the update.
     pub(crate) fn entries(&self) -> usize {
         match self {
             Self::Entire(document) => document.entries(),
@@ -25,27 +25,27 @@
     }
 }
 
-/// The rules in force; their version only rises.
+/// The active rules; their version never decreases.
 #[derive(Default)]
 pub(crate) struct RulesInForce {
     current: ArcSwapOption<Rules>,
-    /// Locked while rules come into force, so that none is missing in it.
+    /// Locked while rules are activated, so that no change is lost.
     history: Mutex<RulesHistory>,
 }
 
 impl RulesInForce {
-    /// The rules in force, if any are known.
+    /// The active rules, if any are known.
     pub(crate) fn current(&self) -> Option<Arc<Rules>> {
         self.current.load_full()
     }
 
-    /// The version in force; the first possible one if none is known.
+    /// The active version; the default if no rules are known.
     pub(crate) fn version(&self) -> RulesVersion {
         let current = self.current();
         current.map(|rules| rules.version()).unwrap_or_default()
     }
 
-    /// Puts a document into force if it is newer. Returns whether it is.
+    /// Activates a document if it is newer. Returns whether it is.
     pub(crate) fn take(&self, mut document: RulesDocument) -> bool {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let known = self.current();
@@ -65,8 +65,8 @@
         true
     }
 
-    /// Puts into force what another host passed on, if it is newer. Returns
-    /// whether it is; changes of another version than the one in force are not.
+    /// Activates an update from a peer if it is newer and its changes apply to the active
+    /// version. Returns whether it was activated.
     pub(crate) fn take_news(&self, news: RulesNews) -> bool {
         let changes = match news {
             RulesNews::Entire(document) => return self.take(Arc::unwrap_or_clone(document)),
@@ -93,8 +93,8 @@
         true
     }
 
-    /// What a host is missing that has a version, if anything: the changes
-    /// since, or the document where these are not known.
+    /// The update that a host at a version needs, if any: the changes since, or the full
+    /// document if they are not retained.
     pub(crate) fn news_since(&self, version: RulesVersion) -> Option<RulesNews> {
         let current = self.current().filter(|rules| rules.version() > version)?;
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -1,4 +1,4 @@
-//! Whether this host reads the platform, and how the platform answers it.
+//! This host's role as a store subscriber, and when the store last answered.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -13,24 +13,22 @@
 use crate::clock::ms;
 use crate::source::Topic;
 
-/// Of one topic.
+/// State of one topic.
 #[derive(Debug, Default)]
 struct OfTopic {
     is_answered: AtomicBool,
     again: Notify,
 }
 
-/// Pauses of this host that are remembered: of longer ones than most gaps between
-/// answers there is one.
+/// Covers suspensions longer than most gaps between answers.
 const PAUSES_KEPT: usize = 16;
 
-/// When this host stood still, oldest first: it heard of no answer then, whoever got
-/// one.
+/// Intervals in which this host was suspended and received no reports, oldest first.
 #[derive(Debug, Default)]
 struct OwnPauses(VecDeque<(Instant, Instant)>);
 
 impl OwnPauses {
-    /// This host stood still until now.
+    /// Records a suspension that ends now.
     fn add(&mut self, length: Duration, now: Instant) {
         let from = now.checked_sub(length).unwrap_or(now);
         self.0.push_back((from, now));
@@ -39,14 +37,14 @@
         }
     }
 
-    /// All that is remembered is older by so much than the clock says.
+    /// Shifts all intervals back by time that the runtime's clock did not count.
     fn age(&mut self, by: Duration) {
         for at in self.0.iter_mut().flat_map(|(from, to)| [from, to]) {
             *at = at.checked_sub(by).unwrap_or(*at);
         }
     }
 
-    /// How much of the time between two instants this host stood still.
+    /// Total suspended time between two instants.
     fn within(&self, from: Instant, to: Instant) -> Duration {
         let overlap = |(began, ended): &(Instant, Instant)| {
             to.min(*ended).saturating_duration_since(from.max(*began))
@@ -55,18 +53,18 @@
     }
 }
 
-/// Whom the platform answered.
+/// The host that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnsweredHost {
     /// This host.
     Own,
-    /// A host that told so itself.
+    /// A host that reported it directly.
     Near,
-    /// A host of another zone, as relays told.
+    /// A host of another zone, as reported by relays.
     Far,
 }
 
-/// When the platform last answered, by whom.
+/// When the store last answered, by host.
 #[derive(Clone, Copy, Debug)]
 struct AnsweredAt {
     own: Option<Instant>,
@@ -84,7 +82,7 @@
         }
     }
 
-    /// Any host; if none was, when this host started.
+    /// The latest answer to any host, or else this host's start.
     fn any(&self) -> Instant {
         let all = [self.own, self.near, self.far];
         let newest = all.into_iter().flatten().max();
@@ -95,41 +93,41 @@
 /// Why a topic is read now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Due {
-    /// It is this host's to read.
+    /// This host is a subscriber.
     Turn,
-    /// Others know what this host does not: the whole has to be read.
+    /// Peers know more than this host: a full read is needed.
     Again,
-    /// No host was answered for long.
+    /// No host was answered within the staleness timeout.
     Doubt,
 }
 
-/// This host as a reader.
+/// This host's subscription to the store.
 #[derive(Debug)]
 pub(crate) struct StoreSubscription {
-    /// Whether it is this host's to read.
+    /// Whether this host is a subscriber.
     has_turn: watch::Sender<bool>,
-    /// Whether it would be where no one reads yet.
+    /// Whether this host would be a subscriber if there were none yet.
     is_first_choice: watch::Sender<bool>,
-    /// Whether the hosts of the settings were asked for all they know.
+    /// Whether the configured seeds were queried for their full state.
     are_seeds_asked: watch::Sender<bool>,
     answered_at: watch::Sender<AnsweredAt>,
     own_pauses: Mutex<OwnPauses>,
-    /// Grows when this host finds that no host was answered for long.
+    /// Incremented when this host polls because its view is stale.
     doubts: watch::Sender<u64>,
-    /// Hosts that share the reading.
+    /// Hosts that share the subscription.
     sharing: AtomicUsize,
-    /// All hosts that are known.
+    /// All known hosts.
     hosts_known: AtomicUsize,
-    /// Whether this host tells other zones of its own.
+    /// Whether this host sends aggregates to other zones.
     is_relay: AtomicBool,
-    /// Whether readers of other zones come first.
+    /// Whether subscribers of other zones read first.
     is_standby: AtomicBool,
     rules: OfTopic,
     endpoints: OfTopic,
 }
 
 impl Default for StoreSubscription {
-    /// A host reads until it knows of others who do.
+    /// A host is a subscriber until it knows of others.
     fn default() -> Self {
         let answered_at = AnsweredAt {
             own: None,
@@ -162,7 +160,7 @@
         }
     }
 
-    /// Says whether it is this host's to read. Returns whether that changed.
+    /// Sets whether this host is a subscriber. Returns whether that changed.
     pub(crate) fn set_turn(&self, has_turn: bool) -> bool {
         self.has_turn.send_if_modified(|known| {
             let is_news = *known != has_turn;
@@ -171,29 +169,29 @@
         })
     }
 
-    /// Says whether it would be this host's to read where no one reads yet.
+    /// Sets whether this host would be a subscriber if there were none yet.
     pub(crate) fn set_first_choice(&self, is_first_choice: bool) {
         self.is_first_choice.send_replace(is_first_choice);
     }
 
-    /// Waits until it would be this host's to read where no one reads yet.
+    /// Waits until this host would be a subscriber if there were none yet.
     pub(crate) async fn first_choice(&self) {
         let mut is_first_choice = self.is_first_choice.subscribe();
         let _never_closed = is_first_choice.wait_for(|is_first| *is_first).await;
     }
 
-    /// The hosts of the settings were asked for all they know.
+    /// Records that the configured seeds were queried.
     pub(crate) fn seeds_asked(&self) {
         self.are_seeds_asked.send_replace(true);
     }
 
-    /// Waits until the hosts of the settings were asked for all they know.
+    /// Waits until the configured seeds were queried.
     pub(crate) async fn after_seeds_asked(&self) {
         let mut are_asked = self.are_seeds_asked.subscribe();
         let _never_closed = are_asked.wait_for(|are_asked| *are_asked).await;
     }
 
-    /// Waits until it is this host's turn to read.
+    /// Waits until this host is a subscriber.
     pub(crate) async fn turn(&self) {
         let mut has_turn = self.has_turn.subscribe();
         let _never_closed = has_turn.wait_for(|has_turn| *has_turn).await;
@@ -212,29 +210,28 @@
         }
     }
 
-    /// Waits until the topic has to be read whole again.
+    /// Waits until a full read of the topic is requested.
     pub(crate) async fn again(&self, topic: Topic) {
         self.of(topic).again.notified().await;
     }
 
-    /// All has to be read whole again: others know what this host does not.
+    /// Requests a full read of both topics.
     pub(crate) fn read_again(&self) {
         self.rules.again.notify_one();
         self.endpoints.again.notify_one();
     }
 
-    /// The platform answered this host.
+    /// Records that the store answered this host.
     pub(crate) fn answered(&self, topic: Topic) {
         self.of(topic).is_answered.store(true, Ordering::Relaxed);
     }
 
-    /// The platform did not answer.
+    /// Records that the store did not answer.
     pub(crate) fn not_answered(&self, topic: Topic) {
         self.of(topic).is_answered.store(false, Ordering::Relaxed);
     }
 
-    /// This host stood still for so long, of which the runtime's clock did not count
-    /// some: all that is remembered is older by that.
+    /// Records a suspension of this host, `uncounted` of which the runtime's clock missed.
     pub(crate) fn stood_still(&self, length: Duration, uncounted: Duration) {
         self.age(uncounted);
         let mut own_pauses = self.own_pauses();
@@ -256,8 +253,7 @@
         });
     }
 
-    /// How long ago the platform answered, as told to others; `Near` is this
-    /// host or one that told so itself.
+    /// Time since the store last answered, as reported to peers; `Near` includes this host.
     pub(crate) fn answered_ago_ms(&self, whom: AnsweredHost) -> Option<u32> {
         let answered_at = *self.answered_at.borrow();
         let at = match whom {
@@ -268,9 +264,8 @@
         u32::try_from(at?.elapsed().as_millis()).ok()
     }
 
-    /// The platform answered someone so long ago. Returns how long before that
-    /// it last answered any host, but for the time in which this host could not hear of
-    /// that; zero if this is no newer answer.
+    /// Records an answer `ago_ms` ago. Returns the gap since the previous answer to any
+    /// host, excluding this host's suspensions; zero if the answer is not newer.
     pub(crate) fn was_answered(&self, whom: AnsweredHost, ago_ms: Option<u32>) -> Duration {
         let ago = ago_ms.map(|ago_ms| ms(u64::from(ago_ms)));
         let Some(at) = ago.and_then(|ago| Instant::now().checked_sub(ago)) else {
@@ -289,66 +284,64 @@
         at.saturating_duration_since(before).saturating_sub(still)
     }
 
-    /// Whether this host, as a relay, should tell at once of an answer that
-    /// came so long after the one before: other zones are about to doubt.
+    /// Whether a relay should report an answer at once, because after such a gap other
+    /// zones are about to poll.
     pub(crate) fn is_due_to_relay(&self, gained: Duration, times: &FollowTimes) -> bool {
         self.is_relay() && gained >= ms(times.stale_after_ms / 2)
     }
 
-    /// Whether this host tells other zones of its own.
+    /// Whether this host sends aggregates to other zones.
     pub(crate) fn is_relay(&self) -> bool {
         self.is_relay.load(Ordering::Relaxed)
     }
 
-    /// Whether the platform answered any host since an instant.
+    /// Whether the store answered any host after an instant.
     pub(crate) fn answered_since(&self, since: Instant) -> bool {
         self.answered_at.borrow().any() > since
     }
 
-    /// Waits until the platform has answered any host since an instant.
+    /// Waits until the store has answered any host after an instant.
     pub(crate) async fn answered_after(&self, since: Instant) {
         let mut answered_at = self.answered_at.subscribe();
         let is_over = |answered_at: &AnsweredAt| answered_at.any() > since;
         let _never_closed = answered_at.wait_for(is_over).await;
     }
 
-    /// So many hosts share the reading, of so many in all; whether this one
-    /// tells other zones of its own.
+    /// Sets the number of subscribers, the number of known hosts and whether this host is a
+    /// relay.
     pub(crate) fn set_round(&self, sharing: usize, hosts_known: usize, is_relay: bool) {
         self.sharing.store(sharing, Ordering::Relaxed);
         self.hosts_known.store(hosts_known, Ordering::Relaxed);
         self.is_relay.store(is_relay, Ordering::Relaxed);
     }
 
-    /// Whether readers of other zones tell this host most changes first.
+    /// Whether this host normally receives changes from subscribers of other zones first.
     pub(crate) fn is_standby(&self) -> bool {
         self.is_standby.load(Ordering::Relaxed)
     }
 
-    /// Says whether readers of other zones come first.
+    /// Sets whether subscribers of other zones read first.
     pub(crate) fn set_standby(&self, is_standby: bool) {
         self.is_standby.store(is_standby, Ordering::Relaxed);
     }
 
-    /// Hosts that share the reading.
+    /// Hosts that share the subscription.
     pub(crate) fn sharing(&self) -> usize {
         self.sharing.load(Ordering::Relaxed)
     }
 
-    /// Whether this host is one of those that ask now that no host was answered
-    /// for long.
+    /// Whether this host polls while the view is stale; in a large fleet only a random
+    /// fraction does.
     fn asks_in_doubt(&self) -> bool {
         let hosts = self.hosts_known.load(Ordering::Relaxed);
         self.has_turn() || rand::random::<f64>() < doubting_part(hosts)
     }
 
-    /// Waits until the platform has answered no host for so long that this
-    /// one should ask whether it still does, on both topics: the first answer
-    /// ends the doubt for all, and a wait for the other topic may be lost. In a
-    /// large fleet each host draws, again and again, whether it asks.
+    /// Waits until the store has answered no host for so long that this one should poll it,
+    /// on both topics, since a wait for one topic may be lost. The first answer ends the
+    /// wait on all hosts. Hosts that are not selected draw again periodically.
     pub(crate) async fn stale(&self, times: &FollowTimes) {
-        // Readers ask first: mostly one of them has ended the doubt before
-        // the others ask.
+        // Subscribers poll first, which mostly spares the others.
         let half_ms = times.stale_spread_ms / 2;
         let first_ms = if self.has_turn() { 0 } else { half_ms };
         let delay_ms = first_ms + rand::rng().random_range(0..=half_ms);
@@ -374,7 +367,7 @@
         }
     }
 
-    /// How this host stands to the platform, as told to others.
+    /// This host's subscription role, as reported to peers.
     pub(crate) fn role(&self) -> SubscriptionRole {
         if !*self.has_turn.borrow() {
             return SubscriptionRole::No;
@@ -387,7 +380,7 @@
         }
     }
 
-    /// Whether it is this host's to read.
+    /// Whether this host is a subscriber.
     pub(crate) fn has_turn(&self) -> bool {
         *self.has_turn.borrow()
     }
