--- a/crates/gateway/src/fleet/builds.rs
+++ b/crates/gateway/src/fleet/builds.rs
@@ -10,32 +10,37 @@
 use crate::peers::KnownBuilds;
 
 /// Builds and canaries of a pool that may serve a request.
-pub(super) struct OpenBuilds<'a> {
+pub(super) struct EligibleBuilds<'a> {
     filter: BuildFilter<'a>,
     /// The canaries; `None` if every endpoint that passes the filter is eligible.
     canaries: Option<Vec<MemberHash>>,
 }
 
-impl OpenBuilds<'_> {
+impl EligibleBuilds<'_> {
     pub(super) fn admit(&self, member: &Member) -> bool {
         let canaries = self.canaries.as_ref();
-        let is_tried = canaries.is_none_or(|tried| tried.contains(&member.hash));
-        is_tried && self.filter.admits(&member.endpoint.build)
+        let is_admitted = canaries.is_none_or(|canaries| canaries.contains(&member.hash));
+        is_admitted && self.filter.admits(&member.endpoint.build)
     }
 }
 
 impl Fleet {
     /// The endpoints of a pool that are eligible for a build choice.
-    pub(super) fn open_builds(&self, pool: &PoolId, by: BuildUse, now_ms: u64) -> OpenBuilds<'_> {
-        let filter = self.rollouts.filter(pool, by, now_ms);
-        let canaries = (by == BuildUse::Canary).then(|| {
+    pub(super) fn eligible_builds(
+        &self,
+        pool: &PoolId,
+        build_use: BuildUse,
+        now_ms: u64,
+    ) -> EligibleBuilds<'_> {
+        let filter = self.rollouts.filter(pool, build_use, now_ms);
+        let canaries = (build_use == BuildUse::Canary).then(|| {
             let members = self.endpoints.live(pool);
             let is_new = |member: &&Member| filter.admits(&member.endpoint.build);
             let new = members.iter().filter(is_new).map(|member| member.hash);
             let old = members.iter().filter(|member| !is_new(member)).count();
             self.rollouts.canaries(pool, new, old)
         });
-        OpenBuilds { filter, canaries }
+        EligibleBuilds { filter, canaries }
     }
 
     /// The members of a pool whose build most requests use first.
@@ -45,8 +50,8 @@
         members: &'a [Member],
         now_ms: u64,
     ) -> impl Iterator<Item = &'a Member> {
-        let usual = self.rollouts.usual_use(pool);
-        let builds = self.rollouts.filter(pool, usual, now_ms);
+        let stable_use = self.rollouts.usual_use(pool);
+        let builds = self.rollouts.filter(pool, stable_use, now_ms);
         let members = members.iter();
         members.filter(move |member| builds.admits(&member.endpoint.build))
     }
@@ -65,8 +70,8 @@
                 builds.old_slots += slots;
             }
         }
-        let of_pool = self.endpoints.known();
-        for member in of_pool.filter(|member| member.endpoint.pool == *pool) {
+        let known = self.endpoints.known();
+        for member in known.filter(|member| member.endpoint.pool == *pool) {
             let in_progress = self.load.of(member.hash.short());
             if member.endpoint.build == order.build {
                 builds.new_in_progress += in_progress;
@@ -100,10 +105,10 @@
             if !endpoint.build.is_known() {
                 continue;
             }
-            let of_pool = usual
+            let usual_build = usual
                 .entry(endpoint.pool.clone())
                 .or_insert_with(|| endpoint.build.clone());
-            if *of_pool != endpoint.build {
+            if *usual_build != endpoint.build {
                 others.push((member.hash.short(), endpoint.build.clone()));
             }
         }
@@ -114,12 +119,12 @@
     }
 
     /// Records the builds that endpoints run.
-    pub(super) fn note_builds(&mut self, now_ms: u64) {
+    pub(super) fn record_builds(&mut self, now_ms: u64) {
         let mut by_pool: BTreeMap<&PoolId, BTreeSet<&BuildVersion>> = BTreeMap::new();
         for member in self.endpoints.listed() {
             let endpoint = &*member.endpoint;
-            let of_pool = by_pool.entry(&endpoint.pool).or_default();
-            of_pool.insert(&endpoint.build);
+            let pool_builds = by_pool.entry(&endpoint.pool).or_default();
+            pool_builds.insert(&endpoint.build);
         }
         for (pool, builds) in by_pool {
             self.rollouts.builds_listed(pool, builds, now_ms);
--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -10,7 +10,7 @@
 
 /// Maximum delay between selection of a cold endpoint and sending; requests that waited for
 /// a connection would otherwise arrive together.
-const COLD_SEND_DELAY_MAX_MS: u64 = 200;
+const MAX_COLD_SEND_DELAY_MS: u64 = 200;
 
 impl Fleet {
     /// Sets the pool settings.
@@ -26,7 +26,7 @@
         now_ms: u64,
     ) -> EvacuationChange {
         let change = self.evacuations.merge(evacuations);
-        self.evacuations_changed(&change, now_ms);
+        self.apply_evacuation_change(&change, now_ms);
         change
     }
 
@@ -37,7 +37,7 @@
         now_ms: u64,
     ) -> EvacuationChange {
         let change = self.evacuations.read(evacuations);
-        self.evacuations_changed(&change, now_ms);
+        self.apply_evacuation_change(&change, now_ms);
         change
     }
 
@@ -49,11 +49,11 @@
         now_ms: u64,
     ) -> EvacuationChange {
         let change = self.evacuations.follow(rows, until);
-        self.evacuations_changed(&change, now_ms);
+        self.apply_evacuation_change(&change, now_ms);
         change
     }
 
-    fn evacuations_changed(&mut self, change: &EvacuationChange, now_ms: u64) {
+    fn apply_evacuation_change(&mut self, change: &EvacuationChange, now_ms: u64) {
         if change.is_empty() {
             return;
         }
@@ -61,10 +61,10 @@
             .set_evacuated(self.evacuations.zones().clone());
         for zone in &change.begun {
             let until_ms = now_ms + self.evacuation_copy_ms;
-            self.copied_until_ms.insert(zone.clone(), until_ms);
+            self.copy_prefixes_until_ms.insert(zone.clone(), until_ms);
         }
         for zone in &change.ended {
-            self.copied_until_ms.remove(zone);
+            self.copy_prefixes_until_ms.remove(zone);
             self.doubt_zone(zone, now_ms);
         }
     }
@@ -75,19 +75,19 @@
             let Some(pool) = self.pools.get(&member.endpoint.pool) else {
                 continue;
             };
-            let longest_ms = pool.cold_start_ms.min(self.entry_delay_ms);
-            self.cold.doubt(member.hash.short(), longest_ms, now_ms);
+            let max_cold_ms = pool.cold_start_ms.min(self.entry_delay_ms);
+            self.cold.doubt(member.hash.short(), max_cold_ms, now_ms);
         }
     }
 
     /// Whether so many endpoints are closed that the others receive far more than their
     /// usual share.
-    pub(crate) fn is_crowded(&self, now_ms: u64) -> bool {
-        const CLOSED_PART: f64 = 0.15;
+    pub(crate) fn has_many_closed(&self, now_ms: u64) -> bool {
+        const MAX_CLOSED_FRACTION: f64 = 0.15;
         let serving = self.endpoints.serving_count();
         let evacuated = serving - self.endpoints.live_count();
         let closed = evacuated + self.cold.count(now_ms) + self.backoffs.count(now_ms);
-        closed as f64 > CLOSED_PART * serving as f64
+        closed as f64 > MAX_CLOSED_FRACTION * serving as f64
     }
 
     /// Checks that the selected endpoint still accepts the request and, if so, records the
@@ -99,7 +99,7 @@
             return false;
         }
         let may_send = if choice.is_cold {
-            now_ms.saturating_sub(choice.chosen_at_ms) <= COLD_SEND_DELAY_MAX_MS
+            now_ms.saturating_sub(choice.chosen_at_ms) <= MAX_COLD_SEND_DELAY_MS
         } else {
             self.may_send_if_cold(member, now_ms)
         };
@@ -121,8 +121,8 @@
     pub(crate) fn backs_off_for_ms(&self, pool: &PoolId, now_ms: u64) -> Option<u64> {
         let live = self.endpoints.live(pool);
         let usable = self.of_usual_builds(pool, &live, now_ms);
-        let left_ms = usable.map(|member| self.backoffs.left_ms(member.hash.short(), now_ms));
-        left_ms.min().filter(|left_ms| *left_ms > 0)
+        let remaining_ms = usable.map(|member| self.backoffs.left_ms(member.hash.short(), now_ms));
+        remaining_ms.min().filter(|remaining_ms| *remaining_ms > 0)
     }
 
     /// Whether an endpoint is warm or this host's share of its cold rate allows a request.
@@ -130,10 +130,10 @@
         if !self.is_bounded(member, now_ms) {
             return true;
         }
-        let is_near = member.endpoint.zone == self.zone;
-        let bears_per_s = self.cold_per_s(&member.endpoint.pool);
+        let is_same_zone = member.endpoint.zone == self.zone;
+        let sustained_per_s = self.cold_per_s(&member.endpoint.pool);
         self.cold
-            .may_send(member.hash.short(), bears_per_s, is_near, now_ms)
+            .may_send(member.hash.short(), sustained_per_s, is_same_zone, now_ms)
     }
 
     /// Whether an endpoint is cold and its request rate is limited.
@@ -141,9 +141,9 @@
         if self.cold.is_empty() {
             return false;
         }
-        let bears_per_s = self.cold_per_s(&member.endpoint.pool);
+        let sustained_per_s = self.cold_per_s(&member.endpoint.pool);
         self.cold
-            .is_bounded(member.hash.short(), bears_per_s, now_ms)
+            .is_bounded(member.hash.short(), sustained_per_s, now_ms)
     }
 
     /// Requests a second that a cold endpoint of a pool sustains; 0 means no limit.
@@ -152,9 +152,9 @@
     }
 
     /// Endpoints of evacuated zones from which prefixes may still be copied.
-    pub(super) fn copied_while_evacuated(&self, pool: &PoolId, now_ms: u64) -> Vec<Member> {
+    pub(super) fn evacuated_copy_sources(&self, pool: &PoolId, now_ms: u64) -> Vec<Member> {
         if self
-            .copied_until_ms
+            .copy_prefixes_until_ms
             .values()
             .all(|until_ms| now_ms >= *until_ms)
         {
@@ -162,7 +162,7 @@
         }
         let serving = self.endpoints.serving(pool);
         let copied = serving.iter().filter(|member| {
-            let until_ms = self.copied_until_ms.get(&member.endpoint.zone);
+            let until_ms = self.copy_prefixes_until_ms.get(&member.endpoint.zone);
             member.is_evacuated && until_ms.is_some_and(|until_ms| now_ms < *until_ms)
         });
         copied.cloned().collect()
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -21,10 +21,10 @@
 use crate::source::{EndpointChange, EndpointRow, ListedEndpoint};
 
 /// Minimum number of list changes retained for other hosts.
-const CHANGES_MIN: usize = 256;
+const MIN_RETAINED_CHANGES: usize = 256;
 /// Changes are retained up to the length of the list divided by this; beyond that, the list
 /// itself is shorter to send.
-const CHANGES_PART: usize = 2;
+const RETAINED_CHANGES_DIVISOR: usize = 2;
 
 /// Concurrent requests that saturate a cold endpoint; `None` if its rate is not limited.
 fn places_while_cold(bears_per_s: f64, service_ms: f64) -> Option<u32> {
@@ -72,7 +72,7 @@
     /// Latest known version of the endpoint list.
     pub(crate) endpoints_version: StoreVersion,
     /// Whether a full list was ever applied.
-    has_list: bool,
+    has_full_list: bool,
     /// Store era of the last full read.
     pub(crate) store_era: Option<u64>,
     /// When endpoints whose entries lapsed during a store outage are dropped.
@@ -84,7 +84,7 @@
     /// Evacuated zones.
     pub(crate) evacuations: Evacuations,
     /// When prefixes stop being copied from each evacuated zone.
-    copied_until_ms: HashMap<ZoneId, u64>,
+    copy_prefixes_until_ms: HashMap<ZoneId, u64>,
     evacuation_copy_ms: u64,
     pub(crate) cold: ColdEndpoints,
     pub(crate) backoffs: Backoffs,
@@ -102,7 +102,7 @@
     budgets: HashMap<PoolId, WindowBudget>,
     service_times: HashMap<PoolId, ServiceTimeEwma>,
     /// By pool and route.
-    longest_stays: HashMap<PoolId, HashMap<Arc<str>, LongestStay>>,
+    max_service_times: HashMap<PoolId, HashMap<Arc<str>, LongestStay>>,
     /// Requests in progress on this host by organisation.
     pub(crate) shares: Shares,
     pub(crate) prefixes: Prefixes,
@@ -115,13 +115,13 @@
         Self {
             endpoints: EndpointTable::default(),
             endpoints_version: StoreVersion::default(),
-            has_list: false,
+            has_full_list: false,
             store_era: None,
             lapsed_until_ms: None,
             changes: VecDeque::new(),
             changes_since: StoreVersion::default(),
             evacuations: Evacuations::default(),
-            copied_until_ms: HashMap::new(),
+            copy_prefixes_until_ms: HashMap::new(),
             evacuation_copy_ms: config.evacuation_copy_ms,
             cold: ColdEndpoints::new(config.cold_bound),
             backoffs: Backoffs::default(),
@@ -135,7 +135,7 @@
             health: HashMap::new(),
             budgets: HashMap::new(),
             service_times: HashMap::new(),
-            longest_stays: HashMap::new(),
+            max_service_times: HashMap::new(),
             shares: Shares::default(),
             prefixes: Prefixes::default(),
             poison: PoisonEvidence::default(),
@@ -154,27 +154,27 @@
     }
 
     /// Selects an endpoint of a pool.
-    pub(crate) fn place(&self, wanted: &Wanted<'_>, now_ms: u64) -> Option<Choice> {
-        let mut uses = wanted.uses.iter();
-        uses.find_map(|by| self.place_by(wanted, *by, now_ms))
+    pub(crate) fn place(&self, query: &Wanted<'_>, now_ms: u64) -> Option<Choice> {
+        let mut uses = query.uses.iter();
+        uses.find_map(|build_use| self.place_by(query, *build_use, now_ms))
     }
 
-    fn place_by(&self, wanted: &Wanted<'_>, by: BuildUse, now_ms: u64) -> Option<Choice> {
-        let builds = self.open_builds(wanted.pool, by, now_ms);
-        let members = self.endpoints.serving(wanted.pool);
-        let deepest = wanted.shared_parts.last().copied();
+    fn place_by(&self, query: &Wanted<'_>, build_use: BuildUse, now_ms: u64) -> Option<Choice> {
+        let builds = self.eligible_builds(query.pool, build_use, now_ms);
+        let members = self.endpoints.serving(query.pool);
+        let deepest = query.shared_parts.last().copied();
         let key = deepest.map(|part| KeyHash(u64::from(part)));
         let untried: Vec<&Member> = members
             .iter()
-            .filter(|member| !wanted.tried.contains(&member.hash.short()))
+            .filter(|member| !query.tried.contains(&member.hash.short()))
             .collect();
         let holders: Vec<u32> = deepest
-            .map(|part| self.prefixes.map().holders(part, now_ms).collect())
+            .map(|part| self.prefixes.directory().holders(part, now_ms).collect())
             .unwrap_or_default();
         let candidates: Vec<Candidate> = untried
             .iter()
             .map(|member| {
-                let candidate = self.candidate(member, wanted, &holders, now_ms);
+                let candidate = self.candidate(member, query, &holders, now_ms);
                 Candidate {
                     is_closed: candidate.is_closed || !builds.admit(member),
                     ..candidate
@@ -183,13 +183,13 @@
             .collect();
         let request = PlacementRequest {
             key,
-            unseen_arrivals: self.unseen_arrivals(wanted.pool, &members),
-            draw: wanted.draw,
+            unseen_arrivals: self.unseen_arrivals(query.pool, &members),
+            draw: query.draw,
         };
         let placement = choose(&candidates, &request, &self.spread)?;
         let candidate = &candidates[placement.index];
         let member = untried[placement.index].clone();
-        let holder = self.other_holder(wanted, &member, now_ms);
+        let holder = self.find_prefix_holder(query, &member, now_ms);
         let is_cold = self.is_bounded(&member, now_ms);
         Some(Choice {
             load: candidate.load,
@@ -209,70 +209,74 @@
         if service_ms <= 0.0 {
             return 0.0;
         }
-        let of_others = |member: &Member| self.load.of_others(member.hash.short());
-        let in_progress: u32 = members.iter().map(of_others).sum();
+        let remote_in_progress = |member: &Member| self.load.of_others(member.hash.short());
+        let in_progress: u32 = members.iter().map(remote_in_progress).sum();
         f64::from(in_progress) * self.load.report_age_ms() / service_ms
     }
 
     fn mean_service_ms(&self, pool: &PoolId) -> f64 {
-        let stay = self.service_times.get(pool);
-        stay.map_or(0.0, ServiceTimeEwma::ms)
+        let mean = self.service_times.get(pool);
+        mean.map_or(0.0, ServiceTimeEwma::ms)
     }
 
     /// Finds another holder of the longest known prefix; endpoints that are leaving count.
-    fn other_holder(
+    fn find_prefix_holder(
         &self,
-        wanted: &Wanted<'_>,
+        query: &Wanted<'_>,
         chosen: &Member,
         now_ms: u64,
     ) -> Option<SocketAddr> {
-        let live = self.endpoints.live(wanted.pool);
-        let evacuated = self.copied_while_evacuated(wanted.pool, now_ms);
-        let parting = self.endpoints.parting(wanted.pool);
-        let address_of = |endpoint: u32| {
+        let live = self.endpoints.live(query.pool);
+        let evacuated = self.evacuated_copy_sources(query.pool, now_ms);
+        let parting = self.endpoints.parting(query.pool);
+        let find_address = |endpoint: u32| {
             let mut members = live.iter().chain(parting.iter()).chain(&evacuated);
             let member = members.find(|member| member.hash.short() == endpoint)?;
             let is_sound = !self.is_suspect(endpoint, now_ms);
             is_sound.then_some(member.endpoint.address)
         };
-        for &part in wanted.shared_parts.iter().rev() {
-            if self.prefixes.map().holds(part, chosen.hash.short(), now_ms) {
+        for &part in query.shared_parts.iter().rev() {
+            if self
+                .prefixes
+                .directory()
+                .holds(part, chosen.hash.short(), now_ms)
+            {
                 return None;
             }
-            let mut holders = self.prefixes.map().holders(part, now_ms);
-            if let Some(address) = holders.find_map(address_of) {
+            let mut holders = self.prefixes.directory().holders(part, now_ms);
+            if let Some(address) = holders.find_map(find_address) {
                 return Some(address);
             }
         }
         // No holder is known, as after a restart: use the endpoint that ranks first for the
         // prefix without the chosen one.
-        let deepest = KeyHash(u64::from(*wanted.shared_parts.last()?));
+        let deepest = KeyHash(u64::from(*query.shared_parts.last()?));
         let others = live.iter().chain(parting.iter()).chain(&evacuated);
         let others = others.filter(|member| member.hash != chosen.hash);
         let first = others.max_by(|a, b| {
             let rank = |member: &Member| score(deepest, member.hash, 1.0);
             rank(a).total_cmp(&rank(b))
         })?;
-        address_of(first.hash.short())
+        find_address(first.hash.short())
     }
 
     /// Builds a placement candidate; `holders` are the endpoints that hold the prefix.
     fn candidate(
         &self,
         member: &Member,
-        wanted: &Wanted<'_>,
+        query: &Wanted<'_>,
         holders: &[u32],
         now_ms: u64,
     ) -> Candidate {
         let short = member.hash.short();
-        let stays_away = |health: &EndpointHealth| match wanted.repeatable {
+        let is_avoided = |health: &EndpointHealth| match query.repeatable {
             Repeatable::Yes => health.is_suspect(now_ms),
             Repeatable::No => health.is_suspect(now_ms) || health.is_doubtful(now_ms),
         };
-        let is_suspect = self.health.get(&short).is_some_and(stays_away);
-        let has_just_returned =
-            self.backoffs
-                .prefers_others(short, wanted.has_attempt_left, now_ms);
+        let is_suspect = self.health.get(&short).is_some_and(is_avoided);
+        let has_just_returned = self
+            .backoffs
+            .prefers_others(short, query.has_attempt_left, now_ms);
         // An endpoint that rejects requests has low load and would otherwise attract more
         // of them.
         let backs_off = self.backoffs.is_active(short, now_ms);
@@ -321,19 +325,19 @@
     /// for their slots would not be served.
     pub(crate) fn occupancy(&self, pool: &PoolId, now_ms: u64) -> PoolOccupancy {
         let members = self.endpoints.live(pool);
-        let of_usual_builds = self.of_usual_builds(pool, &members, now_ms);
-        let takes_work = of_usual_builds.filter(|member| {
+        let stable_members = self.of_usual_builds(pool, &members, now_ms);
+        let accepting = stable_members.filter(|member| {
             let start = member.hash.short();
             !self.is_suspect(start, now_ms) && !self.backoffs.is_active(start, now_ms)
         });
         let service_ms = self.mean_service_ms(pool);
-        let cold_places = places_while_cold(self.cold_per_s(pool), service_ms);
-        let (places, in_progress) = takes_work.fold((0, 0), |(places, in_progress), member| {
+        let cold_slots = places_while_cold(self.cold_per_s(pool), service_ms);
+        let (places, in_progress) = accepting.fold((0, 0), |(places, in_progress), member| {
             let short = member.hash.short();
-            let slots = member.endpoint.slots;
-            let cold_places = cold_places.filter(|_| self.is_bounded(member, now_ms));
+            let endpoint_slots = member.endpoint.slots;
+            let cold_slots = cold_slots.filter(|_| self.is_bounded(member, now_ms));
             (
-                places + cold_places.map_or(slots, |cold| slots.min(cold)),
+                places + cold_slots.map_or(endpoint_slots, |cold| endpoint_slots.min(cold)),
                 self.load.of(short).saturating_add(in_progress),
             )
         });
@@ -347,13 +351,13 @@
     /// Longest recent service time for each route of a pool, from this host and from
     /// rollout reports of other hosts.
     pub(crate) fn longest_stays_ms(&self, pool: &PoolId, now_ms: u64) -> BTreeMap<Arc<str>, u64> {
-        let told = self.rollouts.evidence(pool).map(Evidence::longest_stays_ms);
-        let mut stays_ms = told.cloned().unwrap_or_default();
-        for (route, longest) in self.longest_stays.get(pool).into_iter().flatten() {
-            let longest_ms = stays_ms.entry(route.clone()).or_default();
-            *longest_ms = longest.ms(now_ms).max(*longest_ms);
+        let reported = self.rollouts.evidence(pool).map(Evidence::longest_stays_ms);
+        let mut max_ms = reported.cloned().unwrap_or_default();
+        for (route, route_max) in self.max_service_times.get(pool).into_iter().flatten() {
+            let route_max_ms = max_ms.entry(route.clone()).or_default();
+            *route_max_ms = route_max.ms(now_ms).max(*route_max_ms);
         }
-        stays_ms
+        max_ms
     }
 
     /// Records how long a request of a route occupied an endpoint.
@@ -361,14 +365,14 @@
         &mut self,
         pool: &PoolId,
         route: &Arc<str>,
-        stayed_ms: u64,
+        service_ms: u64,
         now_ms: u64,
     ) {
-        let stay = self.service_times.entry(pool.clone()).or_default();
-        stay.record(stayed_ms);
-        let of_pool = self.longest_stays.entry(pool.clone()).or_default();
-        let longest = of_pool.entry(route.clone()).or_default();
-        longest.record(stayed_ms, now_ms);
+        let service_time = self.service_times.entry(pool.clone()).or_default();
+        service_time.record(service_ms);
+        let pool_times = self.max_service_times.entry(pool.clone()).or_default();
+        let route_max = pool_times.entry(route.clone()).or_default();
+        route_max.record(service_ms, now_ms);
     }
 
     /// Replaces the endpoint list with a full one as of a version.
@@ -381,7 +385,7 @@
         for listed in &list {
             self.told_cold(listed, now_ms);
         }
-        if self.has_list && version.era() > self.endpoints_version.era() {
+        if self.has_full_list && version.era() > self.endpoints_version.era() {
             // A store restored from a copy lacks recent endpoints until they register
             // again.
             self.store_is_back(now_ms, self.entry_delay_ms);
@@ -398,22 +402,22 @@
         let endpoints = endpoints.collect();
         self.endpoints.replace(endpoints, now_ms);
         self.endpoints_version = self.endpoints_version.max(version);
-        self.has_list = true;
+        self.has_full_list = true;
         self.changes.clear();
         self.changes_since = self.endpoints_version;
-        self.note_builds(now_ms);
-        self.forget_health();
+        self.record_builds(now_ms);
+        self.prune_health();
     }
 
     /// Applies list changes, oldest first, and skips known ones. Returns whether any was
     /// new.
     pub(crate) fn take_changes(&mut self, rows: Vec<EndpointRow>, now_ms: u64) -> bool {
-        let mut is_news = false;
+        let mut has_changed = false;
         for row in rows {
             if row.version <= self.endpoints_version {
                 continue;
             }
-            is_news = true;
+            has_changed = true;
             self.endpoints_version = row.version;
             match &row.change {
                 EndpointChange::Listed(listed) => {
@@ -428,20 +432,20 @@
             }
             self.changes.push_back(row);
         }
-        let most = if self.changes.len() > CHANGES_MIN {
-            (self.endpoints.listed_count() / CHANGES_PART).max(CHANGES_MIN)
+        let max_retained = if self.changes.len() > MIN_RETAINED_CHANGES {
+            (self.endpoints.listed_count() / RETAINED_CHANGES_DIVISOR).max(MIN_RETAINED_CHANGES)
         } else {
-            CHANGES_MIN
+            MIN_RETAINED_CHANGES
         };
-        while self.changes.len() > most {
+        while self.changes.len() > max_retained {
             if let Some(oldest) = self.changes.pop_front() {
                 self.changes_since = oldest.version;
             }
         }
-        if is_news {
-            self.forget_health();
+        if has_changed {
+            self.prune_health();
         }
-        is_news
+        has_changed
     }
 
     /// The listed endpoints, to send to another host.
@@ -463,12 +467,12 @@
         if version < self.changes_since {
             return None;
         }
-        let after = self.changes.iter().filter(|row| row.version > version);
-        Some(after.map(|row| self.aged(row, now_ms)).collect())
+        let newer = self.changes.iter().filter(|row| row.version > version);
+        Some(newer.map(|row| self.refreshed(row, now_ms)).collect())
     }
 
     /// Updates a change's remaining cold time.
-    fn aged(&self, row: &EndpointRow, now_ms: u64) -> EndpointRow {
+    fn refreshed(&self, row: &EndpointRow, now_ms: u64) -> EndpointRow {
         let mut row = row.clone();
         if let EndpointChange::Listed(listed) = &mut row.change {
             let short = listed.endpoint.start_hash().short();
@@ -494,7 +498,7 @@
         }
     }
 
-    fn forget_health(&mut self) {
+    fn prune_health(&mut self) {
         let listed = self.endpoints.listed_hashes();
         self.health.retain(|endpoint, _| listed.contains(endpoint));
     }
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -22,7 +22,7 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS);
 /// Interval while many endpoints are closed: the open ones then receive more requests
 /// between two reports.
-const CROWDED_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS / 2);
+const FAST_ROUND_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS / 2);
 /// Cache entries in a datagram of about 1 KB.
 const ENTRIES_PER_DATAGRAM: usize = 96;
 /// Endpoint load counts in a datagram of about 1 KB.
@@ -34,13 +34,13 @@
 /// are sent once when found, and on request.
 const POISON_PER_DATAGRAM: usize = 16;
 /// Poison updates in a round, 16 bytes each.
-const POISON_NEWS_PER_DATAGRAM: usize = 60;
+const POISON_UPDATES_PER_ROUND: usize = 60;
 /// Cache entry datagrams in a round.
-const ENTRY_DATAGRAMS: usize = 3;
+const ENTRY_DATAGRAMS_PER_ROUND: usize = 3;
 /// Datagrams of an aggregate in a round; a larger aggregate is sent less often.
-const SUM_DATAGRAMS_PER_ROUND: usize = 4;
+const AGGREGATE_DATAGRAMS_PER_ROUND: usize = 4;
 /// Bounds the age of an aggregate after a lost datagram.
-const ROUNDS_A_SUM_MAX: u64 = 3;
+const MAX_ROUNDS_PER_AGGREGATE: u64 = 3;
 
 /// Sends rounds of datagrams until the process ends, and an extra one for each urgent
 /// update.
@@ -49,30 +49,30 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut sequence = 0;
     let mut number = 0;
-    let mut rounds_a_sum = 1;
+    let mut rounds_per_aggregate = 1;
     let mut from_relays = false;
-    let mut is_crowded = false;
+    let mut has_many_closed = false;
     loop {
-        let is_news = tokio::select! {
+        let is_urgent = tokio::select! {
             _ = ticks.tick() => false,
             () = shared.publish_now.notified() => true,
-            () = tokio::time::sleep(CROWDED_INTERVAL), if is_crowded => true,
+            () = tokio::time::sleep(FAST_ROUND_INTERVAL), if has_many_closed => true,
         };
-        is_crowded = shared.fleet().is_crowded(shared.clock.now_ms());
+        has_many_closed = shared.fleet().has_many_closed(shared.clock.now_ms());
         sequence += 1;
-        number += u64::from(!is_news);
-        let input = round_input(&shared, number, is_news, rounds_a_sum);
-        if input.goes_by_totals != from_relays {
-            from_relays = input.goes_by_totals;
+        number += u64::from(!is_urgent);
+        let input = round_input(&shared, number, is_urgent, rounds_per_aggregate);
+        if input.uses_fleet_aggregate != from_relays {
+            from_relays = input.uses_fleet_aggregate;
             shared.event_log.emit(&Event::LoadSource {
                 from_relays,
-                hosts: input.hosts_known,
+                hosts: input.known_host_count,
             });
         }
         let round = peers.round(&input);
         apply_round(&shared, &peers, &round);
-        let datagrams = datagrams_of(&shared, &peers, sequence, &round);
-        rounds_a_sum = rounds_for(datagrams.sums.len());
+        let datagrams = build_datagrams(&shared, &peers, sequence, &round);
+        rounds_per_aggregate = rounds_for(datagrams.aggregates.len());
         send_round(&shared, &socket, &datagrams, &round);
     }
 }
@@ -84,43 +84,49 @@
     round: &GossipRound,
 ) {
     let to_hosts = [
-        (&datagrams.near, &round.due),
-        (&datagrams.far, &round.far),
-        (&datagrams.to_zone, &round.sum_to),
+        (&datagrams.to_peers, &round.heartbeat_recipients),
+        (&datagrams.to_relays, &round.remote_relays),
+        (&datagrams.to_zone, &round.aggregate_recipients),
     ];
     for (datagrams, to) in to_hosts {
         for datagram in datagrams {
             send(shared, socket, datagram, to);
         }
     }
-    for datagram in &datagrams.sums {
-        send_sum(shared, socket, datagram, &round.sum_to);
+    for datagram in &datagrams.aggregates {
+        send_aggregate(shared, socket, datagram, &round.aggregate_recipients);
     }
-    let of_hosts = to_hosts
+    let sent_by_kind = to_hosts
         .iter()
         .map(|(datagrams, to)| datagrams.len() * to.len());
-    let sent = of_hosts.sum::<usize>() + datagrams.sums.len() * round.sum_to.len();
+    let sent =
+        sent_by_kind.sum::<usize>() + datagrams.aggregates.len() * round.aggregate_recipients.len();
     shared
         .metrics
         .count("peer_datagrams_sent_total", "", sent as u64);
 }
 
-fn round_input(shared: &Shared, number: u64, is_news: bool, rounds_a_sum: u64) -> RoundInput {
+fn round_input(
+    shared: &Shared,
+    number: u64,
+    is_urgent: bool,
+    rounds_per_aggregate: u64,
+) -> RoundInput {
     let fleet = shared.fleet();
     RoundInput {
         number,
-        is_news,
-        rounds_a_sum,
-        reading: shared.subscription.role(),
-        hosts_known: fleet.load.hosts_known(),
-        goes_by_totals: fleet.load.goes_by_totals(),
+        is_urgent,
+        rounds_per_aggregate,
+        role: shared.subscription.role(),
+        known_host_count: fleet.load.hosts_known(),
+        uses_fleet_aggregate: fleet.load.goes_by_totals(),
     }
 }
 
 /// Rounds between two sends of an aggregate of so many datagrams.
 fn rounds_for(datagrams: usize) -> u64 {
-    let rounds = datagrams.div_ceil(SUM_DATAGRAMS_PER_ROUND).max(1) as u64;
-    rounds.min(ROUNDS_A_SUM_MAX)
+    let rounds = datagrams.div_ceil(AGGREGATE_DATAGRAMS_PER_ROUND).max(1) as u64;
+    rounds.min(MAX_ROUNDS_PER_AGGREGATE)
 }
 
 fn send(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
@@ -135,51 +141,54 @@
 
 /// Sends a chunk of the fleet aggregate; the ID of the recipient's own report that it
 /// includes follows it.
-fn send_sum(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
+fn send_aggregate(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
     let Ok(mut bytes) = postcard::to_stdvec(datagram) else {
         return;
     };
-    let part_length = bytes.len();
+    let chunk_bytes = bytes.len();
     for address in to {
-        let includes = shared.fleet().load.counted_report(address);
-        bytes.truncate(part_length);
-        let Ok(included) = postcard::to_stdvec(&includes) else {
+        let included_report = shared.fleet().load.counted_report(address);
+        bytes.truncate(chunk_bytes);
+        let Ok(encoded_report) = postcard::to_stdvec(&included_report) else {
             continue;
         };
-        bytes.extend_from_slice(&included);
+        bytes.extend_from_slice(&encoded_report);
         let _lost_datagrams_are_replaced = socket.try_send_to(&bytes, *address);
     }
 }
 
 fn apply_round(shared: &Shared, peers: &Membership, round: &GossipRound) {
     let senders = round.cold_senders.clone();
-    let own = host_hash(&peers.own);
-    shared.fleet().cold.set_hosts(own, senders, peers.is_new());
+    let local = host_hash(&peers.own);
+    shared
+        .fleet()
+        .cold
+        .set_hosts(local, senders, peers.is_new());
     round
-        .gone
+        .lost_peers
         .iter()
-        .for_each(|news| log_member_change(shared, *news));
+        .for_each(|change| log_peer_change(shared, *change));
     shared
         .subscription
-        .set_round(round.sharing, round.hosts, round.is_relay);
-    shared.subscription.set_first_choice(round.is_first_choice);
+        .set_round(round.subscriber_count, round.host_count, round.is_relay);
+    shared.subscription.set_first_choice(round.is_preferred);
     shared.subscription.set_standby(round.is_standby);
-    if round.is_relay_news {
+    if round.has_relay_change {
         shared.event_log.emit(&Event::Relays {
             is_relay: round.is_relay,
             sums_up: round.sums_up,
         });
     }
-    let has_turn = round.reads_platform;
+    let has_turn = round.is_subscriber;
     if shared.subscription.set_turn(has_turn) {
         shared.event_log.emit(&Event::Reads { has_turn });
     }
 }
 
-pub(super) fn log_member_change(shared: &Shared, news: MemberChange) {
+pub(super) fn log_peer_change(shared: &Shared, change: MemberChange) {
     shared.event_log.emit(&Event::Peer {
-        address: news.address,
-        is_up: news.is_up,
+        address: change.address,
+        is_up: change.is_up,
     });
 }
 
@@ -187,17 +196,17 @@
 #[derive(Default)]
 struct RoundDatagrams {
     /// To the recipients of the heartbeat.
-    near: Vec<Datagram>,
+    to_peers: Vec<Datagram>,
     /// To relays of other zones, if this host is a relay.
-    far: Vec<Datagram>,
+    to_relays: Vec<Datagram>,
     /// To hosts of a large zone, if this host is its relay.
     to_zone: Vec<Datagram>,
     /// The same, followed by the ID of each recipient's own report.
-    sums: Vec<Datagram>,
+    aggregates: Vec<Datagram>,
 }
 
 /// Builds the datagrams of a round.
-fn datagrams_of(
+fn build_datagrams(
     shared: &Shared,
     peers: &Membership,
     sequence: u64,
@@ -215,12 +224,12 @@
     let knowledge = Knowledge {
         rules,
         endpoints: fleet.endpoints_version,
-        leaving: in_turn(fleet.endpoints.leaving(), sequence),
+        leaving: select_leaving(fleet.endpoints.leaving(), sequence),
         evacuations: fleet.evacuations.clone(),
         poison: fleet.poison.poison(POISON_PER_DATAGRAM, now_ms),
     };
-    let poison_news = fleet.poison.take_pending(POISON_NEWS_PER_DATAGRAM, now_ms);
-    let answered_ago_ms = |whom| shared.subscription.answered_ago_ms(whom);
+    let poison_updates = fleet.poison.take_pending(POISON_UPDATES_PER_ROUND, now_ms);
+    let answered_ago_ms = |host| shared.subscription.answered_ago_ms(host);
     let reading = shared.subscription.role();
     let heartbeat = Heartbeat {
         zone: peers.zone,
@@ -230,44 +239,46 @@
         far_answered_ago_ms: answered_ago_ms(AnsweredHost::Far).filter(|_| round.is_relay),
         report: fleet.load.report(peers.incarnation, sequence),
         knowledge: knowledge.clone(),
-        hosts: round.named.clone(),
+        hosts: round.contacts.clone(),
     };
     let pending = fleet
         .prefixes
-        .take_pending(ENTRIES_PER_DATAGRAM * ENTRY_DATAGRAMS);
+        .take_pending(ENTRIES_PER_DATAGRAM * ENTRY_DATAGRAMS_PER_ROUND);
     let mut datagrams = RoundDatagrams {
-        near: vec![Datagram::Heartbeat(heartbeat)],
+        to_peers: vec![Datagram::Heartbeat(heartbeat)],
         ..RoundDatagrams::default()
     };
-    let own_entries = || cache_entries(peers.zone, SumPath::Direct, &pending.near);
-    let relayed = || cache_entries(peers.zone, SumPath::Relayed, &pending.relayed);
-    datagrams.near.extend(own_entries());
-    if !poison_news.is_empty() {
-        let news = Datagram::Poison(poison_news);
-        datagrams.near.push(news.clone());
-        datagrams.far.push(news.clone());
-        datagrams.to_zone.push(news);
+    let local_entries = || cache_entries(peers.zone, SumPath::Direct, &pending.local);
+    let relayed = || cache_entries(peers.zone, SumPath::Relayed, &pending.same_zone);
+    datagrams.to_peers.extend(local_entries());
+    if !poison_updates.is_empty() {
+        let update = Datagram::Poison(poison_updates);
+        datagrams.to_peers.push(update.clone());
+        datagrams.to_relays.push(update.clone());
+        datagrams.to_zone.push(update);
     }
     let rollouts = rollout_datagrams(&fleet, peers, now_ms);
-    datagrams.near.extend(rollouts.near);
+    datagrams.to_peers.extend(rollouts.to_peers);
     if round.is_relay {
-        datagrams.far.extend(rollouts.far);
+        datagrams.to_relays.extend(rollouts.to_relays);
     }
     if round.sums_up {
         datagrams.to_zone.extend(rollouts.to_zone);
     }
     if round.is_relay {
         let sum = fleet.load.zone_sum(peers.zone, now_ms);
-        datagrams.far.extend(parts(sum).map(|sum| {
+        datagrams.to_relays.extend(split_aggregate(sum).map(|sum| {
             Datagram::ZoneSummary(ZoneSummary {
                 sum,
                 answered_ago_ms: answered_ago_ms(AnsweredHost::Near),
                 knowledge: knowledge.clone(),
             })
         }));
-        datagrams
-            .far
-            .extend(cache_entries(peers.zone, SumPath::Direct, &pending.far));
+        datagrams.to_relays.extend(cache_entries(
+            peers.zone,
+            SumPath::Direct,
+            &pending.remote_zones,
+        ));
     }
     if round.sums_up {
         datagrams.to_zone.push(Datagram::RelaySummary(RelaySummary {
@@ -277,46 +288,52 @@
             answered_ago_ms: answered_ago_ms(AnsweredHost::Near),
             far_answered_ago_ms: answered_ago_ms(AnsweredHost::Far),
             knowledge,
-            members: round.members.clone(),
+            members: round.zone_members.clone(),
         }));
-        datagrams.to_zone.extend(own_entries());
+        datagrams.to_zone.extend(local_entries());
         datagrams.to_zone.extend(relayed());
         let sum = fleet.load.fleet_sum(peers.zone);
-        datagrams.sums.extend(parts(sum).map(Datagram::FleetSum));
+        datagrams
+            .aggregates
+            .extend(split_aggregate(sum).map(Datagram::FleetSum));
     } else if round.is_relay {
         let sums = fleet.load.far_sums(now_ms).into_iter();
         datagrams
-            .near
-            .extend(sums.flat_map(parts).map(Datagram::FarSum));
-        datagrams.near.extend(relayed());
+            .to_peers
+            .extend(sums.flat_map(split_aggregate).map(Datagram::FarSum));
+        datagrams.to_peers.extend(relayed());
     }
     datagrams
 }
 
 /// The endpoints that are leaving to include in a round, in rotation.
-fn in_turn(mut leaving: Vec<u32>, sequence: u64) -> Vec<u32> {
-    let turns = leaving.len().div_ceil(LEAVING_PER_DATAGRAM).max(1);
-    if turns == 1 {
+fn select_leaving(mut leaving: Vec<u32>, sequence: u64) -> Vec<u32> {
+    let chunk_count = leaving.len().div_ceil(LEAVING_PER_DATAGRAM).max(1);
+    if chunk_count == 1 {
         return leaving;
     }
     leaving.sort_unstable();
-    let turn = (sequence % turns as u64) as usize;
-    let of_turn = leaving.into_iter().skip(turn * LEAVING_PER_DATAGRAM);
-    of_turn.take(LEAVING_PER_DATAGRAM).collect()
+    let chunk = (sequence % chunk_count as u64) as usize;
+    let selected = leaving.into_iter().skip(chunk * LEAVING_PER_DATAGRAM);
+    selected.take(LEAVING_PER_DATAGRAM).collect()
 }
 
 /// Splits an aggregate into chunks of one datagram each.
-fn parts(sum: ZoneSum) -> impl Iterator<Item = ZoneSum> {
+fn split_aggregate(sum: ZoneSum) -> impl Iterator<Item = ZoneSum> {
     sum.split(COUNTS_PER_DATAGRAM).into_iter()
 }
 
-fn cache_entries(zone: u32, path: SumPath, all: &[CacheEntry]) -> impl Iterator<Item = Datagram> {
-    let datagrams = all.chunks(ENTRIES_PER_DATAGRAM);
-    datagrams.map(move |some| {
+fn cache_entries(
+    zone: u32,
+    path: SumPath,
+    entries: &[CacheEntry],
+) -> impl Iterator<Item = Datagram> {
+    let datagrams = entries.chunks(ENTRIES_PER_DATAGRAM);
+    datagrams.map(move |chunk| {
         Datagram::CacheEntries(CacheEntries {
             zone,
             path,
-            holdings: some.to_vec(),
+            holdings: chunk.to_vec(),
         })
     })
 }
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -20,23 +20,23 @@
 use crate::event_log::{Event, PullOutcome};
 use crate::peers::Membership;
 use crate::peers::api::{Besides, Busy, EndpointNews, Have, KnownBuilds, Missing, PeerApiClient};
-use crate::peers::rollouts::merge_news;
+use crate::peers::rollouts::merge_rollout_update;
 use crate::shared::Shared;
 use crate::source::{EndpointChange, ListedEndpoint};
 
 /// Delay before a pull, in which a host of the same zone may become a source.
-const GATHER: Duration = Duration::from_millis(80);
+const NEWER_PEER_DELAY: Duration = Duration::from_millis(80);
 /// Interval between pulls while this host has no view.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Initial and final pause between queries of the seeds; each is multiplied by a random
 /// factor from 1 to 2. Backoff keeps the seeds responsive when the whole fleet restarts.
-const ASK_SEEDS_FIRST: Duration = Duration::from_millis(50);
-const ASK_SEEDS_LAST: Duration = Duration::from_millis(400);
+const MIN_SEED_PAUSE: Duration = Duration::from_millis(50);
+const MAX_SEED_PAUSE: Duration = Duration::from_millis(400);
 /// Timeout for the first byte of a seed's response.
 const SEED_TIMEOUT: Duration = Duration::from_millis(200);
 /// Delays before the hosts are queried again after start; when all hosts restart, the seeds
 /// know few at first.
-const ASK_HOSTS_AFTER: [Duration; 3] = [
+const HOST_QUERY_DELAYS: [Duration; 3] = [
     Duration::from_millis(250),
     Duration::from_millis(400),
     Duration::from_millis(900),
@@ -44,11 +44,11 @@
 /// Random pause, in milliseconds, before a busy host or an alternative is queried.
 const BUSY_PAUSE_MS: RangeInclusive<u64> = 20..=100;
 /// Attempts while hosts are busy, about three seconds in total.
-const BUSY_TRIES: usize = 50;
+const MAX_BUSY_ATTEMPTS: usize = 50;
 
 /// Queries the seeds until this host has a complete view.
 pub(crate) async fn pull_at_start(shared: Arc<Shared>, peers: Arc<Membership>) {
-    let mut pause = ASK_SEEDS_FIRST;
+    let mut pause = MIN_SEED_PAUSE;
     while !shared.has_view() {
         // Cancels transfers once the view is complete, which frees both links.
         tokio::select! {
@@ -60,11 +60,11 @@
             () = shared.view_known() => {}
             () = tokio::time::sleep(pause.mul_f64(rand::rng().random_range(1.0..2.0))) => {}
         }
-        pause = (2 * pause).min(ASK_SEEDS_LAST);
+        pause = (2 * pause).min(MAX_SEED_PAUSE);
     }
     // Sends a heartbeat to the newly added hosts.
     shared.publish_now.notify_one();
-    for pause in ASK_HOSTS_AFTER {
+    for pause in HOST_QUERY_DELAYS {
         tokio::time::sleep(pause).await;
         pull_from_seeds(&shared, &peers).await;
         shared.publish_now.notify_one();
@@ -77,50 +77,52 @@
     let seeds = shared.config.peer_seeds.iter();
     let others = seeds.filter(|seed| **seed != peers.own);
     let pulls = others.map(|seed| {
-        let have = have(shared, peers);
-        pull(shared, *seed, have, SEED_TIMEOUT)
+        let known = known_versions(shared, peers);
+        pull(shared, *seed, known, SEED_TIMEOUT)
     });
     let mut pulls: FuturesUnordered<_> = pulls.collect();
-    let mut named = None;
+    let mut alternative = None;
     while let Some(pulled) = pulls.next().await {
-        let busy = pulled.and_then(|missing| take(shared, peers, missing));
+        let busy = pulled.and_then(|missing| apply(shared, peers, missing));
         if shared.has_view() {
             return;
         }
-        named = busy.and_then(|busy| named_by(&busy, peers)).or(named);
+        alternative = busy
+            .and_then(|busy| pick_alternative(&busy, peers))
+            .or(alternative);
     }
-    if let Some(named) = named {
-        let have = have(shared, peers);
-        let missing = pull(shared, named, have, SEED_TIMEOUT).await;
-        missing.and_then(|missing| take(shared, peers, missing));
+    if let Some(alternative) = alternative {
+        let known = known_versions(shared, peers);
+        let missing = pull(shared, alternative, known, SEED_TIMEOUT).await;
+        missing.and_then(|missing| apply(shared, peers, missing));
     }
 }
 
 /// Pulls whenever another host knows a newer version, until the process ends.
 pub(crate) async fn pull_when_behind(shared: Arc<Shared>, peers: Arc<Membership>) {
     // The store may answer within this time, which saves a transfer.
-    let patience = ms(shared.config.follow.patience_ms);
-    'behind: loop {
-        let asked = tokio::time::timeout(ASK_EVERY, peers.newer_known.notified());
-        let knows_of_more = asked.await.is_ok();
-        if knows_of_more {
+    let store_wait = ms(shared.config.follow.patience_ms);
+    'wait: loop {
+        let notified = tokio::time::timeout(POLL_INTERVAL, peers.newer_peer_found.notified());
+        let is_notified = notified.await.is_ok();
+        if is_notified {
             let pause = match (shared.has_view(), shared.subscription.has_turn()) {
                 (false, _) => Duration::ZERO,
-                (true, true) => patience,
-                (true, false) => GATHER,
+                (true, true) => store_wait,
+                (true, false) => NEWER_PEER_DELAY,
             };
             tokio::time::sleep(pause).await;
         } else if shared.has_view() {
             continue;
         }
-        let Some(first) = peers.take_newer().or_else(|| peers.any()) else {
+        let Some(first) = peers.take_newer_peer().or_else(|| peers.any()) else {
             continue;
         };
         // The first host may be down; others know the version by now.
         let second = peers.any().filter(|address| *address != first);
         for address in [Some(first), second].into_iter().flatten() {
-            if catch_up(&shared, &peers, address).await != CaughtUp::No {
-                continue 'behind;
+            if catch_up(&shared, &peers, address).await != CatchUp::Failed {
+                continue 'wait;
             }
         }
         // No host with the newer version is reachable; the store may be.
@@ -130,12 +132,12 @@
 
 /// Pulls from up to two random hosts. Returns whether one of them had a fresh view.
 pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &Membership) -> bool {
-    const TRIES: usize = 2;
-    for _ in 0..TRIES {
+    const MAX_ATTEMPTS: usize = 2;
+    for _ in 0..MAX_ATTEMPTS {
         let Some(address) = peers.any() else {
             return false;
         };
-        if catch_up(shared, peers, address).await == CaughtUp::WithFresh {
+        if catch_up(shared, peers, address).await == CatchUp::FromFresh {
             return true;
         }
     }
@@ -144,60 +146,60 @@
 
 /// Outcome of a pull.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CaughtUp {
+enum CatchUp {
     /// The host had a complete view and was not suspended recently.
-    WithFresh,
+    FromFresh,
     /// The host answered without a fresh view.
-    WithStale,
+    FromStale,
     /// The host was unreachable or busy for too long.
-    No,
+    Failed,
 }
 
 /// Pulls from a host with a newer version, and from the alternatives that it names while it
 /// is busy.
-async fn catch_up(shared: &Shared, peers: &Membership, first: SocketAddr) -> CaughtUp {
+async fn catch_up(shared: &Shared, peers: &Membership, first: SocketAddr) -> CatchUp {
     let first_byte = ms(shared.config.follow.pull_timeout_ms);
     let mut from = first;
-    for _ in 0..BUSY_TRIES {
-        let have = have(shared, peers);
-        let Some(missing) = pull(shared, from, have, first_byte).await else {
+    for _ in 0..MAX_BUSY_ATTEMPTS {
+        let known = known_versions(shared, peers);
+        let Some(missing) = pull(shared, from, known, first_byte).await else {
             if from == first {
-                return CaughtUp::No;
+                return CatchUp::Failed;
             }
             // The alternative is unreachable.
             from = first;
             continue;
         };
-        let done = if missing.0.is_fresh {
-            CaughtUp::WithFresh
+        let outcome = if missing.0.is_fresh {
+            CatchUp::FromFresh
         } else {
-            CaughtUp::WithStale
+            CatchUp::FromStale
         };
-        let Some(busy) = take(shared, peers, missing) else {
-            return done;
+        let Some(busy) = apply(shared, peers, missing) else {
+            return outcome;
         };
         let pause_ms = rand::rng().random_range(BUSY_PAUSE_MS);
         tokio::time::sleep(ms(pause_ms)).await;
-        if !is_behind(shared, &busy) {
-            return done;
+        if !is_outdated(shared, &busy) {
+            return outcome;
         }
-        from = named_by(&busy, peers).unwrap_or(first);
+        from = pick_alternative(&busy, peers).unwrap_or(first);
     }
-    CaughtUp::No
+    CatchUp::Failed
 }
 
 /// Whether a busy host still has a newer version.
-fn is_behind(shared: &Shared, busy: &Busy) -> bool {
+fn is_outdated(shared: &Shared, busy: &Busy) -> bool {
     busy.rules > shared.rules.version() || busy.endpoints > shared.fleet().endpoints_version
 }
 
 /// A random alternative to a busy host.
-fn named_by(busy: &Busy, peers: &Membership) -> Option<SocketAddr> {
+fn pick_alternative(busy: &Busy, peers: &Membership) -> Option<SocketAddr> {
     let others = busy.ask.iter().filter(|address| **address != peers.own);
     others.choose(&mut rand::rng()).copied()
 }
 
-fn have(shared: &Shared, peers: &Membership) -> Have {
+fn known_versions(shared: &Shared, peers: &Membership) -> Have {
     Have {
         address: peers.own,
         hosts: peers.recent().len(),
@@ -212,17 +214,18 @@
 async fn pull(
     shared: &Shared,
     from: SocketAddr,
-    have: Have,
+    known: Have,
     first_byte: Duration,
 ) -> Option<(Missing, Besides)> {
     let began_at = Instant::now();
     let count = Arc::new(ByteCount::default());
-    let patience = Patience {
+    let idle_limits = Patience {
         first: first_byte,
         stall: ms(shared.config.follow.stall_ms),
     };
-    let asked = ask(from, have, count.clone());
-    let (outcome, missing) = match while_arriving(asked, || count.read_bytes(), patience).await {
+    let request = ask(from, known, count.clone());
+    let (outcome, missing) = match while_arriving(request, || count.read_bytes(), idle_limits).await
+    {
         Some(Some((missing, besides))) => {
             let outcome = match (&missing.busy, &missing.rules) {
                 (Some(_), _) => Some(PullOutcome::Busy),
@@ -251,14 +254,24 @@
 
 /// Requests supplementary state first, so that a received list is complete. An older build
 /// closes the connection on that call and is asked for the rest alone.
-async fn ask(address: SocketAddr, have: Have, count: Arc<ByteCount>) -> Option<(Missing, Besides)> {
+async fn ask(
+    address: SocketAddr,
+    known: Have,
+    count: Arc<ByteCount>,
+) -> Option<(Missing, Besides)> {
     let client = connect(address, count.clone()).await?;
     if let Ok(besides) = client.besides(tarpc::context::current()).await {
-        let missing = client.missing(tarpc::context::current(), have).await.ok()?;
+        let missing = client
+            .missing(tarpc::context::current(), known)
+            .await
+            .ok()?;
         return Some((missing, besides));
     }
     let client = connect(address, count).await?;
-    let missing = client.missing(tarpc::context::current(), have).await.ok()?;
+    let missing = client
+        .missing(tarpc::context::current(), known)
+        .await
+        .ok()?;
     Some((missing, Besides::default()))
 }
 
@@ -269,31 +282,31 @@
 }
 
 /// Applies a response. Returns the busy response if it was incomplete.
-fn take(
+fn apply(
     shared: &Shared,
     peers: &Membership,
     (missing, besides): (Missing, Besides),
 ) -> Option<Busy> {
-    const FROM: &str = "peer";
+    const SOURCE: &str = "peer";
     let hosts = missing.hosts.iter();
     peers.add(hosts.map(|host| (host.address, Some(host.zone))));
     // Evacuations come before endpoints, so that no evacuated endpoint receives requests.
-    let mut is_news = shared.take_evacuations(&missing.evacuations, FROM);
-    is_news |= shared.merge_poison(&missing.poison, FROM);
+    let mut has_changed = shared.take_evacuations(&missing.evacuations, SOURCE);
+    has_changed |= shared.merge_poison(&missing.poison, SOURCE);
     if let Some(rollouts) = besides.rollouts {
-        merge_news(shared, rollouts, false);
+        merge_rollout_update(shared, rollouts, false);
     }
     if let Some(rules) = missing.rules {
-        is_news |= shared.take_rules_news(rules, FROM);
+        has_changed |= shared.take_rules_news(rules, SOURCE);
     }
-    if let Some(news) = missing.endpoints {
-        if take_endpoints(shared, with_builds(news, &besides.builds)) {
-            is_news = true;
-            shared.log_endpoints(FROM);
+    if let Some(update) = missing.endpoints {
+        if apply_endpoints(shared, with_builds(update, &besides.builds)) {
+            has_changed = true;
+            shared.log_endpoints(SOURCE);
         }
         shared.endpoints_known();
     }
-    if is_news && shared.subscription.is_relay() {
+    if has_changed && shared.subscription.is_relay() {
         // The hosts of a large zone learn of it only from their relays.
         shared.publish_now.notify_one();
     }
@@ -301,7 +314,7 @@
 }
 
 /// Sets the builds of endpoints where they are known.
-fn with_builds(mut news: EndpointNews, builds: &KnownBuilds) -> EndpointNews {
+fn with_builds(mut update: EndpointNews, builds: &KnownBuilds) -> EndpointNews {
     let others: HashMap<u32, &BuildVersion> = builds
         .others
         .iter()
@@ -312,7 +325,7 @@
         .iter()
         .map(|(pool, build)| (pool, build))
         .collect();
-    let tell = |listed: &mut ListedEndpoint| {
+    let set_build = |listed: &mut ListedEndpoint| {
         let endpoint = &mut listed.endpoint;
         let start = endpoint.start_hash().short();
         let build = others.get(&start).or_else(|| usual.get(&endpoint.pool));
@@ -320,8 +333,8 @@
             endpoint.build = BuildVersion::clone(build);
         }
     };
-    match &mut news {
-        EndpointNews::Entire { endpoints, .. } => endpoints.iter_mut().for_each(tell),
+    match &mut update {
+        EndpointNews::Entire { endpoints, .. } => endpoints.iter_mut().for_each(set_build),
         EndpointNews::Changes(rows) => {
             let changes = rows.iter_mut().map(|row| &mut row.change);
             changes
@@ -329,23 +342,23 @@
                     EndpointChange::Listed(listed) => Some(listed),
                     EndpointChange::Gone(_) | EndpointChange::Unreadable(_) => None,
                 })
-                .for_each(tell);
+                .for_each(set_build);
         }
     }
-    news
+    update
 }
 
-fn take_endpoints(shared: &Shared, news: EndpointNews) -> bool {
+fn apply_endpoints(shared: &Shared, update: EndpointNews) -> bool {
     let now_ms = shared.clock.now_ms();
-    let knew_any = shared.knows_endpoints();
+    let had_list = shared.knows_endpoints();
     let mut fleet = shared.fleet();
-    match news {
+    match update {
         EndpointNews::Entire { version, endpoints } => {
-            let is_news = version > fleet.endpoints_version || !knew_any;
-            if is_news {
+            let has_changed = version > fleet.endpoints_version || !had_list;
+            if has_changed {
                 fleet.replace(endpoints, version, now_ms);
             }
-            is_news
+            has_changed
         }
         EndpointNews::Changes(rows) => fleet.take_changes(rows, now_ms),
     }
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -60,15 +60,15 @@
 #[derive(Debug, Default)]
 pub(super) struct RolloutDatagrams {
     /// To the recipients of the heartbeat.
-    pub(super) near: Vec<Datagram>,
+    pub(super) to_peers: Vec<Datagram>,
     /// To relays of other zones, if this host is a relay.
-    pub(super) far: Vec<Datagram>,
+    pub(super) to_relays: Vec<Datagram>,
     /// To the hosts of a large zone, if this host is its relay.
     pub(super) to_zone: Vec<Datagram>,
 }
 
 /// The known rollouts, to send to another host; `None` if there are none.
-pub(super) fn news_of(fleet: &Fleet, now_ms: u64) -> Option<RolloutNews> {
+pub(super) fn rollout_update(fleet: &Fleet, now_ms: u64) -> Option<RolloutNews> {
     let rollouts = &fleet.rollouts;
     if rollouts.is_empty() {
         return None;
@@ -95,14 +95,14 @@
     peers: &Membership,
     now_ms: u64,
 ) -> RolloutDatagrams {
-    let Some(news) = news_of(fleet, now_ms) else {
+    let Some(update) = rollout_update(fleet, now_ms) else {
         return RolloutDatagrams::default();
     };
-    let news = Datagram::Rollouts(news);
+    let update = Datagram::Rollouts(update);
     let mut datagrams = RolloutDatagrams {
-        near: vec![news.clone()],
-        far: vec![news.clone()],
-        to_zone: vec![news],
+        to_peers: vec![update.clone()],
+        to_relays: vec![update.clone()],
+        to_zone: vec![update],
     };
     for (pool, _) in fleet.rollouts.pools() {
         let is_over = fleet
@@ -117,8 +117,8 @@
         if is_over {
             continue;
         }
-        let stays_ms = fleet.longest_stays_ms(pool, now_ms);
-        let stays_ms: Vec<(Arc<str>, u64)> = stays_ms.into_iter().collect();
+        let max_service_times_ms = fleet.longest_stays_ms(pool, now_ms);
+        let max_service_times_ms: Vec<(Arc<str>, u64)> = max_service_times_ms.into_iter().collect();
         let datagram = |of: TallyOf, rows: &[TallyRow]| {
             Datagram::RolloutTally(RolloutTally {
                 pool: pool.clone(),
@@ -126,44 +126,44 @@
                 zone: peers.zone,
                 of,
                 rows: rows.to_vec(),
-                longest_stays_ms: stays_ms.clone(),
+                longest_stays_ms: max_service_times_ms.clone(),
             })
         };
         let incarnation = peers.incarnation;
-        let own = Vec::from(evidence.own().clone());
-        let own = own.chunks(ROWS_PER_DATAGRAM);
-        let own = own.map(|rows| datagram(TallyOf::Host { incarnation }, rows));
-        datagrams.near.extend(own);
+        let local = Vec::from(evidence.own().clone());
+        let local = local.chunks(ROWS_PER_DATAGRAM);
+        let local = local.map(|rows| datagram(TallyOf::Host { incarnation }, rows));
+        datagrams.to_peers.extend(local);
         if peers.is_relay() {
             let zone = Vec::from(evidence.zone_sum());
             let zone = zone.chunks(ROWS_PER_DATAGRAM);
             let zone = zone.map(|rows| datagram(TallyOf::Zone, rows));
-            datagrams.far.extend(zone);
+            datagrams.to_relays.extend(zone);
         }
     }
     datagrams
 }
 
 /// Merges rollout state from a peer. A relay passes on what is new.
-pub(super) fn merge_news(shared: &Shared, news: RolloutNews, passes_on: bool) {
-    const FROM: &str = "peer";
-    let mut is_news = shared.take_rollout_orders(&news.orders, FROM);
+pub(super) fn merge_rollout_update(shared: &Shared, update: RolloutNews, passes_on: bool) {
+    const SOURCE: &str = "peer";
+    let mut has_changed = shared.take_rollout_orders(&update.orders, SOURCE);
     let now_ms = shared.clock.now_ms();
-    for told in news.pools {
+    for received in update.pools {
         let mut fleet = shared.fleet();
         let rollouts = &mut fleet.rollouts;
-        rollouts.take_age(&told.pool, told.order, told.age_ms, now_ms);
+        rollouts.take_age(&received.pool, received.order, received.age_ms, now_ms);
         drop(fleet);
-        if let Some((record, version)) = told.record {
+        if let Some((record, version)) = received.record {
             let known = KnownRecord {
-                pool: told.pool,
+                pool: received.pool,
                 record,
                 version,
             };
-            is_news |= shared.take_rollout_record(known, None, FROM);
+            has_changed |= shared.take_rollout_record(known, None, SOURCE);
         }
     }
-    if is_news && passes_on {
+    if has_changed && passes_on {
         shared.publish_now.notify_one();
     }
 }
@@ -173,25 +173,25 @@
     shared: &Shared,
     peers: &Membership,
     address: SocketAddr,
-    told: RolloutTally,
+    received: RolloutTally,
 ) {
     let mut fleet = shared.fleet();
-    let is_alone = peers.counts_alone(told.zone, fleet.load.far_hosts());
-    let source = match told.of {
-        TallyOf::Host { incarnation } if is_alone => EvidenceSource::Host {
+    let counts_alone = peers.counts_alone(received.zone, fleet.load.far_hosts());
+    let source = match received.of {
+        TallyOf::Host { incarnation } if counts_alone => EvidenceSource::Host {
             host: address,
             incarnation,
         },
-        TallyOf::Zone if told.zone != peers.zone => EvidenceSource::Zone {
-            zone: told.zone,
+        TallyOf::Zone if received.zone != peers.zone => EvidenceSource::Zone {
+            zone: received.zone,
             relay: address,
         },
         TallyOf::Host { .. } | TallyOf::Zone => return,
     };
-    if let Some(evidence) = fleet.rollouts.evidence_mut(&told.pool, told.order) {
-        evidence.merge(source, told.rows.into());
-        for (route, stay_ms) in &told.longest_stays_ms {
-            evidence.stayed(route, *stay_ms);
+    if let Some(evidence) = fleet.rollouts.evidence_mut(&received.pool, received.order) {
+        evidence.merge(source, received.rows.into());
+        for (route, service_ms) in &received.longest_stays_ms {
+            evidence.stayed(route, *service_ms);
         }
     }
 }
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -22,17 +22,17 @@
 const SILENT_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 /// Interval between heartbeats to hosts of other zones, or within a zone served by relays,
 /// so that they do not forget each other.
-const FAR_RESEND_INTERVAL: Duration = Duration::from_secs(30);
+const REMOTE_RESEND_INTERVAL: Duration = Duration::from_secs(30);
 /// Hosts listed in a heartbeat for discovery.
-const NAMED_MAX: usize = 4;
+const MAX_CONTACTS: usize = 4;
 /// Relays of each other zone that receive the aggregate.
 const GOSSIP_FAN_OUT: usize = 2;
 /// Zones whose subscribers read changes without delay; those of other zones are standbys.
-const ZONES_READING_FIRST: usize = 2;
+const PRIMARY_SUBSCRIBER_ZONES: usize = 2;
 /// Rounds in which a relay lists all hosts of its zone once.
-const ROUNDS_TO_NAME_ALL: usize = 5;
+const ROUNDS_PER_FULL_LISTING: usize = 5;
 /// A host receives the standby relay's aggregate once in this many sends.
-const STANDBY_ROUNDS: u64 = 3;
+const STANDBY_INTERVAL_SENDS: u64 = 3;
 
 /// State of this host at the start of a round.
 #[derive(Clone, Copy, Debug)]
@@ -40,46 +40,46 @@
     /// Number of regular rounds so far.
     pub(crate) number: u64,
     /// Whether an update must reach all recipients at once.
-    pub(crate) is_news: bool,
+    pub(crate) is_urgent: bool,
     /// Rounds between two aggregates; more for a large one.
-    pub(crate) rounds_a_sum: u64,
+    pub(crate) rounds_per_aggregate: u64,
     /// Subscription role of this host.
-    pub(crate) reading: SubscriptionRole,
+    pub(crate) role: SubscriptionRole,
     /// Hosts whose load is known, this one included.
-    pub(crate) hosts_known: usize,
+    pub(crate) known_host_count: usize,
     /// Whether this host uses the fleet aggregate of its zone's relays.
-    pub(crate) goes_by_totals: bool,
+    pub(crate) uses_fleet_aggregate: bool,
 }
 
 /// Recipients and roles of one gossip round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GossipRound {
     /// Recipients of this host's heartbeat.
-    pub(crate) due: Vec<SocketAddr>,
+    pub(crate) heartbeat_recipients: Vec<SocketAddr>,
     /// Hosts listed in the heartbeat.
-    pub(crate) named: Vec<NamedHost>,
+    pub(crate) contacts: Vec<NamedHost>,
     /// Relays of other zones that receive this zone's aggregate, if this host is a relay.
-    pub(crate) far: Vec<SocketAddr>,
+    pub(crate) remote_relays: Vec<SocketAddr>,
     /// Hosts of this zone that receive the fleet aggregate, if this host is a relay of a
     /// large zone.
-    pub(crate) sum_to: Vec<SocketAddr>,
+    pub(crate) aggregate_recipients: Vec<SocketAddr>,
     /// Hosts listed in the relay's summary.
-    pub(crate) members: Vec<ZoneMember>,
-    pub(crate) reads_platform: bool,
+    pub(crate) zone_members: Vec<ZoneMember>,
+    pub(crate) is_subscriber: bool,
     /// Whether this host would be a subscriber if there were none yet.
-    pub(crate) is_first_choice: bool,
+    pub(crate) is_preferred: bool,
     /// Whether subscribers of other zones read first.
     pub(crate) is_standby: bool,
     pub(crate) is_relay: bool,
     /// Whether this host's relay roles changed.
-    pub(crate) is_relay_news: bool,
+    pub(crate) has_relay_change: bool,
     /// Whether this host sends the fleet aggregate to its zone.
     pub(crate) sums_up: bool,
-    pub(crate) gone: Vec<MemberChange>,
+    pub(crate) lost_peers: Vec<MemberChange>,
     /// Hosts that share the store subscription.
-    pub(crate) sharing: usize,
+    pub(crate) subscriber_count: usize,
     /// All known hosts.
-    pub(crate) hosts: usize,
+    pub(crate) host_count: usize,
     /// The hosts that share the request rate of cold endpoints.
     pub(crate) cold_senders: Vec<MemberHash>,
 }
@@ -88,190 +88,197 @@
     /// Computes the recipients of the next round and this host's roles.
     pub(crate) fn round(&self, input: &RoundInput) -> GossipRound {
         let now = Instant::now();
-        let named = self.named();
-        let mut known = self.known();
-        known.retain(|_, member| !member.is_forgotten(now));
-        let gone = mark_silent(&mut known, self.zone, now);
-        let view = self.view(&known, input.hosts_known);
+        let contacts = self.sample_contacts();
+        let mut peers = self.peers();
+        peers.retain(|_, peer| !peer.is_expired(now));
+        let lost_peers = mark_silent(&mut peers, self.zone, now);
+        let view = self.view(&peers, input.known_host_count);
         let zone_view = view.zone_view();
-        let own = HeardHost {
+        let local = HeardHost {
             hash: host_hash(&self.own),
-            reading: input.reading,
+            reading: input.role,
             capacity_millicores: self.capacity_millicores,
         };
         let is_large = zone_view.is_large();
-        let place = zone_view.relay_place(&own).filter(|_| is_large);
+        let rank = zone_view.relay_place(&local).filter(|_| is_large);
         let is_relayed = zone_view.is_relayed(self.sums_up());
-        let sums_up = place.is_some() && is_relayed;
-        let is_relay_news = self.set_relay(place.is_some(), sums_up);
+        let sums_up = rank.is_some() && is_relayed;
+        let has_relay_change = self.set_relay(rank.is_some(), sums_up);
         let writer_place = if is_large {
-            place.map(|place| RELAYS * view.zones_before + place)
+            rank.map(|rank| RELAYS * view.zones_before + rank)
         } else {
-            Some(zone_view.place(&own))
+            Some(zone_view.place(&local))
         };
         self.set_writer_place(writer_place);
         let mut round = GossipRound {
-            reads_platform: zone_view.reads_platform(&own),
-            is_first_choice: zone_view.is_first_choice(&own),
-            named,
-            is_standby: view.zones_before >= ZONES_READING_FIRST,
-            is_relay: place.is_some(),
-            is_relay_news,
+            is_subscriber: zone_view.reads_platform(&local),
+            is_preferred: zone_view.is_first_choice(&local),
+            contacts,
+            is_standby: view.zones_before >= PRIMARY_SUBSCRIBER_ZONES,
+            is_relay: rank.is_some(),
+            has_relay_change,
             sums_up,
-            gone,
-            sharing: if is_large {
+            lost_peers,
+            subscriber_count: if is_large {
                 readers_wanted(view.hosts)
             } else {
                 view.others.len()
             },
-            hosts: view.hosts,
-            cold_senders: self.cold_senders(&known),
+            host_count: view.hosts,
+            cold_senders: self.cold_senders(&peers),
             ..GossipRound::default()
         };
-        if let Some(place) = place {
-            round.far = self.far_relays(&known, now);
+        if let Some(rank) = rank {
+            round.remote_relays = self.remote_relays(&peers, now);
             if sums_up {
-                round.sum_to = self.sum_to(&known, place, input);
-                round.members = self.members(&known, input.number, now);
+                round.aggregate_recipients = self.aggregate_recipients(&peers, rank, input);
+                round.zone_members = self.listed_zone_members(&peers, input.number, now);
             }
         }
-        let reports_to_relays = sums_up || input.goes_by_totals;
-        round.due = self.due(&mut known, now, is_large, reports_to_relays);
+        let reports_to_relays = sums_up || input.uses_fleet_aggregate;
+        round.heartbeat_recipients =
+            self.heartbeat_recipients(&mut peers, now, is_large, reports_to_relays);
         round
     }
 
     /// A random sample of the hosts that are up.
-    fn named(&self) -> Vec<NamedHost> {
+    fn sample_contacts(&self) -> Vec<NamedHost> {
         let up = self.up();
-        up.sample(&mut rand::rng(), NAMED_MAX).copied().collect()
+        up.sample(&mut rand::rng(), MAX_CONTACTS).copied().collect()
     }
 
-    fn view(&self, known: &HashMap<SocketAddr, Member>, hosts_known: usize) -> View {
-        let up = || known.iter().filter(|(_, member)| member.is_up);
-        let near = up().filter(|(_, member)| member.zone == Some(self.zone));
-        let others: Vec<HeardHost> = near.map(heard_host).collect();
-        let mut zones: Vec<u32> = known.values().filter_map(|member| member.zone).collect();
+    fn view(&self, peers: &HashMap<SocketAddr, Member>, known_host_count: usize) -> View {
+        let up = || peers.iter().filter(|(_, peer)| peer.is_up);
+        let same_zone = up().filter(|(_, peer)| peer.zone == Some(self.zone));
+        let others: Vec<HeardHost> = same_zone.map(zone_peer).collect();
+        let mut zones: Vec<u32> = peers.values().filter_map(|peer| peer.zone).collect();
         zones.push(self.zone);
         zones.sort_unstable();
         zones.dedup();
-        let of_zones = View {
-            hosts: hosts_known.max(1 + up().count()),
+        let by_zones = View {
+            hosts: known_host_count.max(1 + up().count()),
             zones: zones.len(),
             zones_before: zones.iter().filter(|zone| **zone < self.zone).count(),
             others,
         };
-        let is_large = of_zones.zone_view().is_large();
+        let is_large = by_zones.zone_view().is_large();
         if is_large {
-            return of_zones;
+            return by_zones;
         }
         View {
             zones: 1,
             zones_before: 0,
-            others: up().map(heard_host).collect(),
-            ..of_zones
+            others: up().map(zone_peer).collect(),
+            ..by_zones
         }
     }
 
-    fn due(
+    fn heartbeat_recipients(
         &self,
-        known: &mut HashMap<SocketAddr, Member>,
+        peers: &mut HashMap<SocketAddr, Member>,
         now: Instant,
         is_large: bool,
         reports_to_relays: bool,
     ) -> Vec<SocketAddr> {
-        let mut due = Vec::new();
-        for (address, member) in known {
-            let is_far = member.zone.is_some_and(|zone| zone != self.zone);
-            let hears_by_relays = reports_to_relays && !member.sums_up(now);
-            let pause = if is_large && is_far {
-                FAR_RESEND_INTERVAL
-            } else if !member.is_up {
+        let mut recipients = Vec::new();
+        for (address, peer) in peers {
+            let is_remote = peer.zone.is_some_and(|zone| zone != self.zone);
+            let uses_relays = reports_to_relays && !peer.sums_up(now);
+            let interval = if is_large && is_remote {
+                REMOTE_RESEND_INTERVAL
+            } else if !peer.is_up {
                 SILENT_RESEND_INTERVAL
-            } else if hears_by_relays {
-                FAR_RESEND_INTERVAL
+            } else if uses_relays {
+                REMOTE_RESEND_INTERVAL
             } else {
                 Duration::ZERO
             };
-            if member.sent_at.is_none_or(|sent_at| now - sent_at >= pause) {
-                member.sent_at = Some(now);
-                due.push(*address);
+            if peer.sent_at.is_none_or(|sent_at| now - sent_at >= interval) {
+                peer.sent_at = Some(now);
+                recipients.push(*address);
             }
         }
-        due
+        recipients
     }
 
     /// The hosts of the zone that receive a relay's aggregate in this round. Each has one
     /// primary relay and receives the other's every few rounds.
-    fn sum_to(
+    fn aggregate_recipients(
         &self,
-        known: &HashMap<SocketAddr, Member>,
-        place: usize,
+        peers: &HashMap<SocketAddr, Member>,
+        rank: usize,
         input: &RoundInput,
     ) -> Vec<SocketAddr> {
-        let rounds_a_sum = input.rounds_a_sum.max(1);
-        let is_turn = |rounds: u64| input.is_news || input.number.is_multiple_of(rounds);
-        let is_turn_of_all = is_turn(STANDBY_ROUNDS * rounds_a_sum);
-        let is_turn_of_own = is_turn(rounds_a_sum);
-        let near = known.iter().filter(|(_, member)| member.is_up);
-        let near = near.filter(|(_, member)| member.zone == Some(self.zone));
-        let due = near.filter(|(address, _)| {
-            let goes_by_this = relay_of(address) == place;
-            is_turn_of_all || is_turn_of_own && goes_by_this
+        let rounds_per_aggregate = input.rounds_per_aggregate.max(1);
+        let is_due = |rounds: u64| input.is_urgent || input.number.is_multiple_of(rounds);
+        let is_due_for_all = is_due(STANDBY_INTERVAL_SENDS * rounds_per_aggregate);
+        let is_due_for_primary = is_due(rounds_per_aggregate);
+        let same_zone = peers.iter().filter(|(_, peer)| peer.is_up);
+        let same_zone = same_zone.filter(|(_, peer)| peer.zone == Some(self.zone));
+        let recipients = same_zone.filter(|(address, _)| {
+            let is_primary = primary_relay_rank(address) == rank;
+            is_due_for_all || is_due_for_primary && is_primary
         });
-        due.map(|(address, _)| *address).collect()
+        recipients.map(|(address, _)| *address).collect()
     }
 
     /// The hosts to list in a round: those with recent heartbeats, in rotation.
-    fn members(
+    fn listed_zone_members(
         &self,
-        known: &HashMap<SocketAddr, Member>,
+        peers: &HashMap<SocketAddr, Member>,
         number: u64,
         now: Instant,
     ) -> Vec<ZoneMember> {
-        let heard = known.iter().filter(|(_, member)| {
-            let is_near = member.zone == Some(self.zone);
-            is_near && member.is_heard(now)
+        let reporting = peers.iter().filter(|(_, peer)| {
+            let is_same_zone = peer.zone == Some(self.zone);
+            is_same_zone && peer.is_reporting(now)
         });
-        let mut heard: Vec<ZoneMember> = heard
-            .map(|(address, member)| ZoneMember {
+        let mut reporting: Vec<ZoneMember> = reporting
+            .map(|(address, peer)| ZoneMember {
                 address: *address,
-                reading: member.reading,
-                capacity_millicores: member.capacity_millicores,
+                reading: peer.role,
+                capacity_millicores: peer.capacity_millicores,
             })
             .collect();
-        heard.sort_by_key(|member| member.address);
-        let turn = number as usize % ROUNDS_TO_NAME_ALL;
-        let of_turn = heard.into_iter().skip(turn).step_by(ROUNDS_TO_NAME_ALL);
-        of_turn.collect()
+        reporting.sort_by_key(|peer| peer.address);
+        let offset = number as usize % ROUNDS_PER_FULL_LISTING;
+        let listed = reporting
+            .into_iter()
+            .skip(offset)
+            .step_by(ROUNDS_PER_FULL_LISTING);
+        listed.collect()
     }
 
     /// The recipients in each other zone: its active relays, or else the hosts most likely
     /// to become relays and a random one in case these are down.
-    fn far_relays(&self, known: &HashMap<SocketAddr, Member>, now: Instant) -> Vec<SocketAddr> {
+    fn remote_relays(&self, peers: &HashMap<SocketAddr, Member>, now: Instant) -> Vec<SocketAddr> {
         let mut by_zone: BTreeMap<u32, Vec<(&SocketAddr, &Member)>> = BTreeMap::new();
-        for (address, member) in known {
-            if let Some(zone) = member.zone.filter(|zone| *zone != self.zone) {
-                by_zone.entry(zone).or_default().push((address, member));
+        for (address, peer) in peers {
+            if let Some(zone) = peer.zone.filter(|zone| *zone != self.zone) {
+                by_zone.entry(zone).or_default().push((address, peer));
             }
         }
-        let mut told = Vec::new();
-        for mut of_zone in by_zone.into_values() {
-            let relays = of_zone.iter().filter(|(_, member)| member.relays(now));
-            let relays: Vec<SocketAddr> = relays.map(|(address, _)| **address).collect();
-            if !relays.is_empty() {
-                told.extend(relays.into_iter().take(GOSSIP_FAN_OUT));
+        let mut recipients = Vec::new();
+        for mut zone_peers in by_zone.into_values() {
+            let active_relays = zone_peers
+                .iter()
+                .filter(|(_, peer)| peer.is_active_relay(now));
+            let active_relays: Vec<SocketAddr> =
+                active_relays.map(|(address, _)| **address).collect();
+            if !active_relays.is_empty() {
+                recipients.extend(active_relays.into_iter().take(GOSSIP_FAN_OUT));
                 continue;
             }
-            of_zone.sort_by(|(a, peer_a), (b, peer_b)| {
+            zone_peers.sort_by(|(a, peer_a), (b, peer_b)| {
                 let by_capacity = peer_b.capacity_millicores.cmp(&peer_a.capacity_millicores);
-                by_capacity.then_with(|| rank(b).total_cmp(&rank(a)))
+                by_capacity.then_with(|| tie_break(b).total_cmp(&tie_break(a)))
             });
-            let first = of_zone.iter().take(GOSSIP_FAN_OUT);
-            told.extend(first.map(|(address, _)| **address));
-            let other = of_zone.choose(&mut rand::rng());
-            told.extend(other.map(|(address, _)| **address));
+            let first = zone_peers.iter().take(GOSSIP_FAN_OUT);
+            recipients.extend(first.map(|(address, _)| **address));
+            let other = zone_peers.choose(&mut rand::rng());
+            recipients.extend(other.map(|(address, _)| **address));
         }
-        told
+        recipients
     }
 }
 
@@ -293,20 +300,20 @@
     }
 }
 
-fn heard_host((address, member): (&SocketAddr, &Member)) -> HeardHost {
+fn zone_peer((address, peer): (&SocketAddr, &Member)) -> HeardHost {
     HeardHost {
         hash: host_hash(address),
-        reading: member.reading,
-        capacity_millicores: member.capacity_millicores,
+        reading: peer.role,
+        capacity_millicores: peer.capacity_millicores,
     }
 }
 
 /// Ranks hosts of equal capacity, as their own zone does.
-fn rank(address: &SocketAddr) -> f64 {
+fn tie_break(address: &SocketAddr) -> f64 {
     score(KeyHash(0), host_hash(address), 1.0)
 }
 
 /// The rank of a host's primary relay.
-fn relay_of(address: &SocketAddr) -> usize {
+fn primary_relay_rank(address: &SocketAddr) -> usize {
     host_hash(address).short() as usize % RELAYS
 }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -16,20 +16,20 @@
 use crate::outage_log::OutageLog;
 use crate::peers::Membership;
 use crate::peers::api::{Besides, Busy, EndpointNews, Have, Missing, PeerApi};
-use crate::peers::rollouts::news_of;
+use crate::peers::rollouts::rollout_update;
 use crate::peers::uploads::Uploads;
 use crate::rules_in_force::RulesNews;
 use crate::shared::Shared;
 
 /// Delay after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(500);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// A requester that knows at most the host count divided by this receives all hosts.
-const FEW_PART: usize = 2;
+const FEW_HOSTS_DIVISOR: usize = 2;
 /// Responses with at most this many entries, about 16 KB, need no transfer slot.
-const SMALL_ENTRIES: usize = 256;
+const MAX_UNLIMITED_ENTRIES: usize = 256;
 
 /// Poison requests in a response, 14 KB at most.
-const POISON_MAX: usize = 1_024;
+const MAX_POISON_REQUESTS: usize = 1_024;
 
 /// Answers other hosts until the process ends.
 pub(crate) async fn serve_pulls(
@@ -40,30 +40,30 @@
     let uploads = Arc::new(Uploads::new(shared.config.uploads_max));
     let mut outage = OutageLog::new("peers-socket");
     loop {
-        let stream = outage.accept(&shared, &listener, ACCEPT_PAUSE).await;
-        let answers = Answers {
+        let stream = outage.accept(&shared, &listener, ACCEPT_RETRY_DELAY).await;
+        let server = PeerServer {
             shared: shared.clone(),
             peers: peers.clone(),
             uploads: uploads.clone(),
             upload: Arc::default(),
         };
-        tokio::spawn(serve(answers, stream));
+        tokio::spawn(serve_connection(server, stream));
     }
 }
 
 /// Answers one connection until it closes or stalls, so that an unreachable host does not
 /// hold a transfer slot.
-async fn serve(answers: Answers, stream: TcpStream) {
+async fn serve_connection(server: PeerServer, stream: TcpStream) {
     let count = Arc::new(ByteCount::default());
-    let stall = ms(answers.shared.config.follow.stall_ms);
-    let patience = Patience {
+    let stall = ms(server.shared.config.follow.stall_ms);
+    let idle_limits = Patience {
         first: stall,
         stall,
     };
     let channel = BaseChannel::with_defaults(transport(stream, count.clone()));
-    let requests = run_requests(channel.execute(answers.serve()));
-    let moved = || count.read_bytes() + count.written_bytes();
-    let _closed_either_way = while_arriving(requests, moved, patience).await;
+    let requests = run_requests(channel.execute(server.serve()));
+    let transferred_bytes = || count.read_bytes() + count.written_bytes();
+    let _closed_either_way = while_arriving(requests, transferred_bytes, idle_limits).await;
 }
 
 async fn run_requests<F: Future<Output = ()>>(requests: impl Stream<Item = F>) {
@@ -75,7 +75,7 @@
 
 /// Answers the requests of one connection.
 #[derive(Clone)]
-struct Answers {
+struct PeerServer {
     shared: Arc<Shared>,
     peers: Arc<Membership>,
     uploads: Arc<Uploads>,
@@ -83,25 +83,29 @@
     upload: Arc<Mutex<Option<OwnedSemaphorePermit>>>,
 }
 
-impl PeerApi for Answers {
+impl PeerApi for PeerServer {
     async fn missing(self, _: tarpc::context::Context, have: Have) -> Missing {
         let mut hosts = self.peers.recent();
-        if have.hosts > hosts.len() / FEW_PART {
+        if have.hosts > hosts.len() / FEW_HOSTS_DIVISOR {
             hosts.clear();
         }
         self.shared.notice_pause();
         let now_ms = self.shared.clock.now_ms();
-        let poison = self.shared.fleet().poison.poison(POISON_MAX, now_ms);
+        let poison = self
+            .shared
+            .fleet()
+            .poison
+            .poison(MAX_POISON_REQUESTS, now_ms);
         let missing = Missing {
             rules: self.shared.rules.news_since(have.rules),
-            endpoints: endpoint_news(&self.shared, have.endpoints),
+            endpoints: endpoint_update(&self.shared, have.endpoints),
             evacuations: self.shared.fleet().evacuations.clone(),
             poison,
             is_fresh: self.shared.has_view(),
             hosts,
             busy: None,
         };
-        self.within_uploads(missing, have.address)
+        self.limit_uploads(missing, have.address)
     }
 
     async fn besides(self, _: tarpc::context::Context) -> Besides {
@@ -109,18 +113,18 @@
         let fleet = self.shared.fleet();
         Besides {
             builds: fleet.known_builds(),
-            rollouts: news_of(&fleet, now_ms),
+            rollouts: rollout_update(&fleet, now_ms),
         }
     }
 }
 
-impl Answers {
+impl PeerServer {
     /// Limits concurrent large responses: without a free slot, returns only small parts and
     /// a busy response.
-    fn within_uploads(&self, missing: Missing, to: SocketAddr) -> Missing {
+    fn limit_uploads(&self, missing: Missing, to: SocketAddr) -> Missing {
         let rules = missing.rules.as_ref().map_or(0, RulesNews::entries);
         let endpoints = missing.endpoints.as_ref().map_or(0, EndpointNews::entries);
-        if rules + endpoints <= SMALL_ENTRIES {
+        if rules + endpoints <= MAX_UNLIMITED_ENTRIES {
             return missing;
         }
         let version = self.shared.rules.version();
@@ -128,11 +132,13 @@
             let busy = Busy {
                 rules: version,
                 endpoints: self.shared.fleet().endpoints_version,
-                ask: self.uploads.takers(version),
+                ask: self.uploads.recipients(version),
             };
             return Missing {
-                rules: missing.rules.filter(|_| rules <= SMALL_ENTRIES),
-                endpoints: missing.endpoints.filter(|_| endpoints <= SMALL_ENTRIES),
+                rules: missing.rules.filter(|_| rules <= MAX_UNLIMITED_ENTRIES),
+                endpoints: missing
+                    .endpoints
+                    .filter(|_| endpoints <= MAX_UNLIMITED_ENTRIES),
                 busy: Some(busy),
                 ..missing
             };
@@ -144,22 +150,22 @@
 }
 
 /// The endpoint list entries that a host at a version is missing.
-fn endpoint_news(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointNews> {
+fn endpoint_update(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointNews> {
     if !shared.knows_endpoints() {
         return None;
     }
     let now_ms = shared.clock.now_ms();
     let fleet = shared.fleet();
-    let whole = || EndpointNews::Entire {
+    let full_list = || EndpointNews::Entire {
         version: fleet.endpoints_version,
         endpoints: fleet.listed(now_ms),
     };
     let Some(have) = have else {
-        return Some(whole());
+        return Some(full_list());
     };
     if fleet.endpoints_version <= have {
         return None;
     }
     let changes = fleet.changes_after(have, now_ms).map(EndpointNews::Changes);
-    Some(changes.unwrap_or_else(whole))
+    Some(changes.unwrap_or_else(full_list))
 }
--- a/crates/gateway/src/peers/uploads.rs
+++ b/crates/gateway/src/peers/uploads.rs
@@ -12,22 +12,22 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// Recent recipients that are offered as alternatives.
-const TAKERS_MAX: usize = 8;
+const MAX_RECENT: usize = 8;
 
 /// Transfers of large rules and lists to other hosts.
 #[derive(Debug)]
 pub(crate) struct Uploads {
     permits: Arc<Semaphore>,
     /// Recent recipients and the rules version of their transfer, oldest first.
-    takers: Mutex<VecDeque<(RulesVersion, SocketAddr)>>,
+    recent: Mutex<VecDeque<(RulesVersion, SocketAddr)>>,
 }
 
 impl Uploads {
     /// Allows `most` concurrent transfers.
-    pub(crate) fn new(most: usize) -> Self {
+    pub(crate) fn new(max_concurrent: usize) -> Self {
         Self {
-            permits: Arc::new(Semaphore::new(most)),
-            takers: Mutex::default(),
+            permits: Arc::new(Semaphore::new(max_concurrent)),
+            recent: Mutex::default(),
         }
     }
 
@@ -39,18 +39,20 @@
         to: SocketAddr,
     ) -> Option<OwnedSemaphorePermit> {
         let permit = self.permits.clone().try_acquire_owned().ok()?;
-        let mut takers = self.takers.lock().unwrap_or_else(PoisonError::into_inner);
-        takers.push_back((version, to));
-        if takers.len() > TAKERS_MAX {
-            takers.pop_front();
+        let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
+        recent.push_back((version, to));
+        if recent.len() > MAX_RECENT {
+            recent.pop_front();
         }
         Some(permit)
     }
 
     /// Recent recipients of a rules version.
-    pub(crate) fn takers(&self, version: RulesVersion) -> Vec<SocketAddr> {
-        let takers = self.takers.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_version = takers.iter().filter(|(taken, _)| *taken == version);
+    pub(crate) fn recipients(&self, version: RulesVersion) -> Vec<SocketAddr> {
+        let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
+        let of_version = recent
+            .iter()
+            .filter(|(transferred, _)| *transferred == version);
         of_version.map(|(_, address)| *address).collect()
     }
 }
--- a/crates/gateway/src/rules_in_force.rs
+++ b/crates/gateway/src/rules_in_force.rs
@@ -48,15 +48,16 @@
     /// Activates a document if it is newer. Returns whether it is.
     pub(crate) fn take(&self, mut document: RulesDocument) -> bool {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = self.current();
-        if known
+        let current = self.current();
+        if current
             .as_ref()
-            .is_some_and(|known| known.version() >= document.version)
+            .is_some_and(|current| current.version() >= document.version)
         {
             return false;
         }
         document.sort();
-        let change = known.and_then(|known| RulesChange::between(known.document(), &document));
+        let change =
+            current.and_then(|current| RulesChange::between(current.document(), &document));
         match change {
             Some(change) => history.push(Arc::new(change), document.entries()),
             None => history.clear(),
@@ -67,23 +68,23 @@
 
     /// Activates an update from a peer if it is newer and its changes apply to the active
     /// version. Returns whether it was activated.
-    pub(crate) fn take_news(&self, news: RulesNews) -> bool {
-        let changes = match news {
+    pub(crate) fn take_news(&self, update: RulesNews) -> bool {
+        let changes = match update {
             RulesNews::Entire(document) => return self.take(Arc::unwrap_or_clone(document)),
             RulesNews::Changes(changes) => changes,
         };
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(known) = self.current() else {
+        let Some(current) = self.current() else {
             return false;
         };
-        let mut document = RulesDocument::clone(known.document());
+        let mut document = RulesDocument::clone(current.document());
         for change in &changes {
             match change.apply(&document) {
                 Some(changed) => document = changed,
                 None => return false,
             }
         }
-        if document.version <= known.version() {
+        if document.version <= current.version() {
             return false;
         }
         for change in changes {
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -15,24 +15,24 @@
 
 /// State of one topic.
 #[derive(Debug, Default)]
-struct OfTopic {
+struct TopicState {
     is_answered: AtomicBool,
-    again: Notify,
+    reread: Notify,
 }
 
 /// Covers suspensions longer than most gaps between answers.
-const PAUSES_KEPT: usize = 16;
+const MAX_RETAINED_SUSPENSIONS: usize = 16;
 
 /// Intervals in which this host was suspended and received no reports, oldest first.
 #[derive(Debug, Default)]
-struct OwnPauses(VecDeque<(Instant, Instant)>);
+struct Suspensions(VecDeque<(Instant, Instant)>);
 
-impl OwnPauses {
+impl Suspensions {
     /// Records a suspension that ends now.
-    fn add(&mut self, length: Duration, now: Instant) {
-        let from = now.checked_sub(length).unwrap_or(now);
+    fn add(&mut self, duration: Duration, now: Instant) {
+        let from = now.checked_sub(duration).unwrap_or(now);
         self.0.push_back((from, now));
-        if self.0.len() > PAUSES_KEPT {
+        if self.0.len() > MAX_RETAINED_SUSPENSIONS {
             self.0.pop_front();
         }
     }
@@ -45,11 +45,11 @@
     }
 
     /// Total suspended time between two instants.
-    fn within(&self, from: Instant, to: Instant) -> Duration {
-        let overlap = |(began, ended): &(Instant, Instant)| {
-            to.min(*ended).saturating_duration_since(from.max(*began))
+    fn overlap(&self, from: Instant, to: Instant) -> Duration {
+        let duration = |(start, end): &(Instant, Instant)| {
+            to.min(*end).saturating_duration_since(from.max(*start))
         };
-        self.0.iter().map(overlap).sum()
+        self.0.iter().map(duration).sum()
     }
 }
 
@@ -67,24 +67,24 @@
 /// When the store last answered, by host.
 #[derive(Clone, Copy, Debug)]
 struct AnsweredAt {
-    own: Option<Instant>,
-    near: Option<Instant>,
-    far: Option<Instant>,
+    local: Option<Instant>,
+    same_zone: Option<Instant>,
+    remote_zone: Option<Instant>,
     started: Instant,
 }
 
 impl AnsweredAt {
-    fn of(&mut self, whom: AnsweredHost) -> &mut Option<Instant> {
-        match whom {
-            AnsweredHost::Own => &mut self.own,
-            AnsweredHost::Near => &mut self.near,
-            AnsweredHost::Far => &mut self.far,
+    fn instant_mut(&mut self, host: AnsweredHost) -> &mut Option<Instant> {
+        match host {
+            AnsweredHost::Own => &mut self.local,
+            AnsweredHost::Near => &mut self.same_zone,
+            AnsweredHost::Far => &mut self.remote_zone,
         }
     }
 
     /// The latest answer to any host, or else this host's start.
-    fn any(&self) -> Instant {
-        let all = [self.own, self.near, self.far];
+    fn latest(&self) -> Instant {
+        let all = [self.local, self.same_zone, self.remote_zone];
         let newest = all.into_iter().flatten().max();
         newest.unwrap_or(self.started)
     }
@@ -107,53 +107,53 @@
     /// Whether this host is a subscriber.
     has_turn: watch::Sender<bool>,
     /// Whether this host would be a subscriber if there were none yet.
-    is_first_choice: watch::Sender<bool>,
+    is_preferred: watch::Sender<bool>,
     /// Whether the configured seeds were queried for their full state.
-    are_seeds_asked: watch::Sender<bool>,
+    are_seeds_queried: watch::Sender<bool>,
     answered_at: watch::Sender<AnsweredAt>,
-    own_pauses: Mutex<OwnPauses>,
+    suspensions: Mutex<Suspensions>,
     /// Incremented when this host polls because its view is stale.
-    doubts: watch::Sender<u64>,
+    stale_polls: watch::Sender<u64>,
     /// Hosts that share the subscription.
-    sharing: AtomicUsize,
+    subscriber_count: AtomicUsize,
     /// All known hosts.
-    hosts_known: AtomicUsize,
+    host_count: AtomicUsize,
     /// Whether this host sends aggregates to other zones.
     is_relay: AtomicBool,
     /// Whether subscribers of other zones read first.
     is_standby: AtomicBool,
-    rules: OfTopic,
-    endpoints: OfTopic,
+    rules: TopicState,
+    endpoints: TopicState,
 }
 
 impl Default for StoreSubscription {
     /// A host is a subscriber until it knows of others.
     fn default() -> Self {
         let answered_at = AnsweredAt {
-            own: None,
-            near: None,
-            far: None,
+            local: None,
+            same_zone: None,
+            remote_zone: None,
             started: Instant::now(),
         };
         Self {
             has_turn: watch::channel(true).0,
-            is_first_choice: watch::channel(false).0,
-            are_seeds_asked: watch::channel(false).0,
+            is_preferred: watch::channel(false).0,
+            are_seeds_queried: watch::channel(false).0,
             answered_at: watch::channel(answered_at).0,
-            own_pauses: Mutex::default(),
-            doubts: watch::channel(0).0,
-            sharing: AtomicUsize::new(0),
-            hosts_known: AtomicUsize::new(1),
+            suspensions: Mutex::default(),
+            stale_polls: watch::channel(0).0,
+            subscriber_count: AtomicUsize::new(0),
+            host_count: AtomicUsize::new(1),
             is_relay: AtomicBool::new(false),
             is_standby: AtomicBool::new(false),
-            rules: OfTopic::default(),
-            endpoints: OfTopic::default(),
+            rules: TopicState::default(),
+            endpoints: TopicState::default(),
         }
     }
 }
 
 impl StoreSubscription {
-    fn of(&self, topic: Topic) -> &OfTopic {
+    fn topic(&self, topic: Topic) -> &TopicState {
         match topic {
             Topic::Rules => &self.rules,
             Topic::Endpoints => &self.endpoints,
@@ -162,33 +162,33 @@
 
     /// Sets whether this host is a subscriber. Returns whether that changed.
     pub(crate) fn set_turn(&self, has_turn: bool) -> bool {
-        self.has_turn.send_if_modified(|known| {
-            let is_news = *known != has_turn;
-            *known = has_turn;
-            is_news
+        self.has_turn.send_if_modified(|current| {
+            let has_changed = *current != has_turn;
+            *current = has_turn;
+            has_changed
         })
     }
 
     /// Sets whether this host would be a subscriber if there were none yet.
-    pub(crate) fn set_first_choice(&self, is_first_choice: bool) {
-        self.is_first_choice.send_replace(is_first_choice);
+    pub(crate) fn set_first_choice(&self, is_preferred: bool) {
+        self.is_preferred.send_replace(is_preferred);
     }
 
     /// Waits until this host would be a subscriber if there were none yet.
     pub(crate) async fn first_choice(&self) {
-        let mut is_first_choice = self.is_first_choice.subscribe();
-        let _never_closed = is_first_choice.wait_for(|is_first| *is_first).await;
+        let mut is_preferred = self.is_preferred.subscribe();
+        let _never_closed = is_preferred.wait_for(|is_preferred| *is_preferred).await;
     }
 
     /// Records that the configured seeds were queried.
     pub(crate) fn seeds_asked(&self) {
-        self.are_seeds_asked.send_replace(true);
+        self.are_seeds_queried.send_replace(true);
     }
 
     /// Waits until the configured seeds were queried.
     pub(crate) async fn after_seeds_asked(&self) {
-        let mut are_asked = self.are_seeds_asked.subscribe();
-        let _never_closed = are_asked.wait_for(|are_asked| *are_asked).await;
+        let mut are_queried = self.are_seeds_queried.subscribe();
+        let _never_closed = are_queried.wait_for(|are_queried| *are_queried).await;
     }
 
     /// Waits until this host is a subscriber.
@@ -212,82 +212,85 @@
 
     /// Waits until a full read of the topic is requested.
     pub(crate) async fn again(&self, topic: Topic) {
-        self.of(topic).again.notified().await;
+        self.topic(topic).reread.notified().await;
     }
 
     /// Requests a full read of both topics.
     pub(crate) fn read_again(&self) {
-        self.rules.again.notify_one();
-        self.endpoints.again.notify_one();
+        self.rules.reread.notify_one();
+        self.endpoints.reread.notify_one();
     }
 
     /// Records that the store answered this host.
     pub(crate) fn answered(&self, topic: Topic) {
-        self.of(topic).is_answered.store(true, Ordering::Relaxed);
+        self.topic(topic).is_answered.store(true, Ordering::Relaxed);
     }
 
     /// Records that the store did not answer.
     pub(crate) fn not_answered(&self, topic: Topic) {
-        self.of(topic).is_answered.store(false, Ordering::Relaxed);
+        self.topic(topic)
+            .is_answered
+            .store(false, Ordering::Relaxed);
     }
 
     /// Records a suspension of this host, `uncounted` of which the runtime's clock missed.
-    pub(crate) fn stood_still(&self, length: Duration, uncounted: Duration) {
+    pub(crate) fn stood_still(&self, duration: Duration, uncounted: Duration) {
         self.age(uncounted);
-        let mut own_pauses = self.own_pauses();
-        own_pauses.age(uncounted);
-        own_pauses.add(length, Instant::now());
+        let mut suspensions = self.suspensions();
+        suspensions.age(uncounted);
+        suspensions.add(duration, Instant::now());
     }
 
-    fn own_pauses(&self) -> std::sync::MutexGuard<'_, OwnPauses> {
-        self.own_pauses
+    fn suspensions(&self) -> std::sync::MutexGuard<'_, Suspensions> {
+        self.suspensions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn age(&self, by: Duration) {
         self.answered_at.send_modify(|at| {
-            for answered_at in [&mut at.own, &mut at.near, &mut at.far] {
+            for answered_at in [&mut at.local, &mut at.same_zone, &mut at.remote_zone] {
                 *answered_at = answered_at.and_then(|at| at.checked_sub(by));
             }
         });
     }
 
     /// Time since the store last answered, as reported to peers; `Near` includes this host.
-    pub(crate) fn answered_ago_ms(&self, whom: AnsweredHost) -> Option<u32> {
+    pub(crate) fn answered_ago_ms(&self, host: AnsweredHost) -> Option<u32> {
         let answered_at = *self.answered_at.borrow();
-        let at = match whom {
-            AnsweredHost::Own => answered_at.own,
-            AnsweredHost::Near => answered_at.own.max(answered_at.near),
-            AnsweredHost::Far => answered_at.far,
+        let at = match host {
+            AnsweredHost::Own => answered_at.local,
+            AnsweredHost::Near => answered_at.local.max(answered_at.same_zone),
+            AnsweredHost::Far => answered_at.remote_zone,
         };
         u32::try_from(at?.elapsed().as_millis()).ok()
     }
 
     /// Records an answer `ago_ms` ago. Returns the gap since the previous answer to any
     /// host, excluding this host's suspensions; zero if the answer is not newer.
-    pub(crate) fn was_answered(&self, whom: AnsweredHost, ago_ms: Option<u32>) -> Duration {
+    pub(crate) fn was_answered(&self, host: AnsweredHost, ago_ms: Option<u32>) -> Duration {
         let ago = ago_ms.map(|ago_ms| ms(u64::from(ago_ms)));
         let Some(at) = ago.and_then(|ago| Instant::now().checked_sub(ago)) else {
             return Duration::ZERO;
         };
-        let before = self.answered_at.borrow().any();
+        let before = self.answered_at.borrow().latest();
         self.answered_at.send_if_modified(|answered_at| {
-            let known = answered_at.of(whom);
+            let known = answered_at.instant_mut(host);
             let is_newer = known.is_none_or(|known| at > known);
             if is_newer {
                 *known = Some(at);
             }
             is_newer
         });
-        let still = self.own_pauses().within(before, at);
-        at.saturating_duration_since(before).saturating_sub(still)
+        let suspended = self.suspensions().overlap(before, at);
+        at.saturating_duration_since(before)
+            .saturating_sub(suspended)
     }
 
     /// Whether a relay should report an answer at once, because after such a gap other
     /// zones are about to poll.
-    pub(crate) fn is_due_to_relay(&self, gained: Duration, times: &FollowTimes) -> bool {
-        self.is_relay() && gained >= ms(times.stale_after_ms / 2)
+    pub(crate) fn should_relay_answer(&self, gap: Duration, times: &FollowTimes) -> bool {
+        self.is_relay() && gap >= ms(times.stale_after_ms / 2)
     }
 
     /// Whether this host sends aggregates to other zones.
@@ -297,21 +300,22 @@
 
     /// Whether the store answered any host after an instant.
     pub(crate) fn answered_since(&self, since: Instant) -> bool {
-        self.answered_at.borrow().any() > since
+        self.answered_at.borrow().latest() > since
     }
 
     /// Waits until the store has answered any host after an instant.
     pub(crate) async fn answered_after(&self, since: Instant) {
         let mut answered_at = self.answered_at.subscribe();
-        let is_over = |answered_at: &AnsweredAt| answered_at.any() > since;
-        let _never_closed = answered_at.wait_for(is_over).await;
+        let is_newer = |answered_at: &AnsweredAt| answered_at.latest() > since;
+        let _never_closed = answered_at.wait_for(is_newer).await;
     }
 
     /// Sets the number of subscribers, the number of known hosts and whether this host is a
     /// relay.
-    pub(crate) fn set_round(&self, sharing: usize, hosts_known: usize, is_relay: bool) {
-        self.sharing.store(sharing, Ordering::Relaxed);
-        self.hosts_known.store(hosts_known, Ordering::Relaxed);
+    pub(crate) fn set_round(&self, subscriber_count: usize, host_count: usize, is_relay: bool) {
+        self.subscriber_count
+            .store(subscriber_count, Ordering::Relaxed);
+        self.host_count.store(host_count, Ordering::Relaxed);
         self.is_relay.store(is_relay, Ordering::Relaxed);
     }
 
@@ -327,14 +331,14 @@
 
     /// Hosts that share the subscription.
     pub(crate) fn sharing(&self) -> usize {
-        self.sharing.load(Ordering::Relaxed)
+        self.subscriber_count.load(Ordering::Relaxed)
     }
 
     /// Whether this host polls while the view is stale; in a large fleet only a random
     /// fraction does.
     fn asks_in_doubt(&self) -> bool {
-        let hosts = self.hosts_known.load(Ordering::Relaxed);
-        self.has_turn() || rand::random::<f64>() < doubting_part(hosts)
+        let host_count = self.host_count.load(Ordering::Relaxed);
+        self.has_turn() || rand::random::<f64>() < doubting_part(host_count)
     }
 
     /// Waits until the store has answered no host for so long that this one should poll it,
@@ -343,26 +347,26 @@
     pub(crate) async fn stale(&self, times: &FollowTimes) {
         // Subscribers poll first, which mostly spares the others.
         let half_ms = times.stale_spread_ms / 2;
-        let first_ms = if self.has_turn() { 0 } else { half_ms };
-        let delay_ms = first_ms + rand::rng().random_range(0..=half_ms);
-        let patience = ms(times.stale_after_ms + delay_ms);
-        let draw_again = ms(times.stale_spread_ms.max(1));
+        let min_delay_ms = if self.has_turn() { 0 } else { half_ms };
+        let delay_ms = min_delay_ms + rand::rng().random_range(0..=half_ms);
+        let staleness_timeout = ms(times.stale_after_ms + delay_ms);
+        let redraw_interval = ms(times.stale_spread_ms.max(1));
         let mut drawn_at = None;
-        let mut doubts = self.doubts.subscribe();
+        let mut stale_polls = self.stale_polls.subscribe();
         loop {
-            let doubtful = self.answered_at.borrow().any() + patience;
-            let due = doubtful.max(drawn_at.map_or(doubtful, |at| at + draw_again));
-            if Instant::now() >= due {
+            let stale_at = self.answered_at.borrow().latest() + staleness_timeout;
+            let due_at = stale_at.max(drawn_at.map_or(stale_at, |at| at + redraw_interval));
+            if Instant::now() >= due_at {
                 if self.asks_in_doubt() {
-                    self.doubts.send_modify(|doubts| *doubts += 1);
+                    self.stale_polls.send_modify(|polls| *polls += 1);
                     return;
                 }
                 drawn_at = Some(Instant::now());
                 continue;
             }
             tokio::select! {
-                () = tokio::time::sleep_until(due) => {}
-                _never_closed = doubts.changed() => return,
+                () = tokio::time::sleep_until(due_at) => {}
+                _never_closed = stale_polls.changed() => return,
             }
         }
     }
@@ -372,7 +376,7 @@
         if !*self.has_turn.borrow() {
             return SubscriptionRole::No;
         }
-        let is_answered = |of: &OfTopic| of.is_answered.load(Ordering::Relaxed);
+        let is_answered = |state: &TopicState| state.is_answered.load(Ordering::Relaxed);
         if is_answered(&self.rules) && is_answered(&self.endpoints) {
             SubscriptionRole::Answered
         } else {
