--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -138,7 +138,7 @@
 
 /// The other hosts as this one knows them.
 pub(crate) struct Membership {
-    pub(crate) own: SocketAddr,
+    pub(crate) local: SocketAddr,
     /// Short hash of this host's availability zone.
     pub(crate) zone: u32,
     /// CPU capacity of this host, in thousandths of a core.
@@ -160,15 +160,15 @@
 }
 
 impl Membership {
-    pub(crate) fn new(own: SocketAddr, config: &GatewayConfig, incarnation: u64) -> Arc<Self> {
+    pub(crate) fn new(local: SocketAddr, config: &GatewayConfig, incarnation: u64) -> Arc<Self> {
         Arc::new(Self {
-            own,
+            local,
             zone: zone_hash(&config.zone),
             capacity_millicores: config.capacity_millicores,
             incarnation,
             peers: Mutex::default(),
             started_at: Instant::now(),
-            has_other_seeds: config.peer_seeds.iter().any(|seed| *seed != own),
+            has_other_seeds: config.peer_seeds.iter().any(|seed| *seed != local),
             sums_up: AtomicBool::new(false),
             is_relay: AtomicBool::new(false),
             writer_place: AtomicUsize::new(0),
@@ -220,7 +220,7 @@
         let now = Instant::now();
         let mut peers = self.peers();
         for (address, zone) in hosts {
-            if address == self.own {
+            if address == self.local {
                 continue;
             }
             let peer = peers
@@ -231,7 +231,7 @@
     }
 
     /// A random host that is up.
-    pub(crate) fn any(&self) -> Option<SocketAddr> {
+    pub(crate) fn any_up(&self) -> Option<SocketAddr> {
         let peers = self.peers();
         let up = peers.iter().filter(|(_, peer)| peer.is_up);
         let up: Vec<SocketAddr> = up.map(|(address, _)| *address).collect();
@@ -251,7 +251,7 @@
     }
 
     /// Whether this host started too recently to know all others.
-    pub(crate) fn is_new(&self) -> bool {
+    pub(crate) fn is_warming_up(&self) -> bool {
         self.started_at.elapsed() < WARM_UP
     }
 
@@ -269,13 +269,13 @@
             let is_same_zone = peer.zone == Some(self.zone);
             is_same_zone && has_reported(peer)
         });
-        let addresses = same_zone.map(|(address, _)| address).chain([&self.own]);
+        let addresses = same_zone.map(|(address, _)| address).chain([&self.local]);
         addresses.map(host_hash).collect()
     }
 
     fn contacts_if(&self, is_included: impl Fn(&Member) -> bool) -> Vec<NamedHost> {
         let local = NamedHost {
-            address: self.own,
+            address: self.local,
             zone: self.zone,
         };
         let peers = self.peers();
@@ -341,7 +341,7 @@
         let members = summary
             .members
             .iter()
-            .filter(|named| named.address != self.own);
+            .filter(|named| named.address != self.local);
         let mut changes = Vec::new();
         for named in members.chain([&relay]) {
             let peer = peers
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -159,11 +159,11 @@
 
 fn apply_round(shared: &Shared, peers: &Membership, round: &GossipRound) {
     let senders = round.cold_senders.clone();
-    let local = host_hash(&peers.own);
+    let local = host_hash(&peers.local);
     shared
         .fleet()
         .cold
-        .set_hosts(local, senders, peers.is_new());
+        .set_hosts(local, senders, peers.is_warming_up());
     round
         .lost_peers
         .iter()
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -75,7 +75,7 @@
 /// busy seed named.
 async fn pull_from_seeds(shared: &Shared, peers: &Membership) {
     let seeds = shared.config.peer_seeds.iter();
-    let others = seeds.filter(|seed| **seed != peers.own);
+    let others = seeds.filter(|seed| **seed != peers.local);
     let pulls = others.map(|seed| {
         let known = known_versions(shared, peers);
         pull(shared, *seed, known, SEED_TIMEOUT)
@@ -115,11 +115,11 @@
         } else if shared.has_view() {
             continue;
         }
-        let Some(first) = peers.take_newer_peer().or_else(|| peers.any()) else {
+        let Some(first) = peers.take_newer_peer().or_else(|| peers.any_up()) else {
             continue;
         };
         // The first host may be down; others know the version by now.
-        let second = peers.any().filter(|address| *address != first);
+        let second = peers.any_up().filter(|address| *address != first);
         for address in [Some(first), second].into_iter().flatten() {
             if catch_up(&shared, &peers, address).await != CatchUp::Failed {
                 continue 'wait;
@@ -134,7 +134,7 @@
 pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &Membership) -> bool {
     const MAX_ATTEMPTS: usize = 2;
     for _ in 0..MAX_ATTEMPTS {
-        let Some(address) = peers.any() else {
+        let Some(address) = peers.any_up() else {
             return false;
         };
         if catch_up(shared, peers, address).await == CatchUp::FromFresh {
@@ -195,13 +195,13 @@
 
 /// A random alternative to a busy host.
 fn pick_alternative(busy: &Busy, peers: &Membership) -> Option<SocketAddr> {
-    let others = busy.ask.iter().filter(|address| **address != peers.own);
+    let others = busy.ask.iter().filter(|address| **address != peers.local);
     others.choose(&mut rand::rng()).copied()
 }
 
 fn known_versions(shared: &Shared, peers: &Membership) -> Have {
     Have {
-        address: peers.own,
+        address: peers.local,
         hosts: peers.recent().len(),
         rules: shared.rules.version(),
         endpoints: shared
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -36,7 +36,7 @@
             }
         };
         outage.worked(&shared);
-        if address == peers.own {
+        if address == peers.local {
             continue;
         }
         let Ok((datagram, remaining)) = postcard::take_from_bytes(&buffer[..length]) else {
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -95,7 +95,7 @@
         let view = self.view(&peers, input.known_host_count);
         let zone_view = view.zone_view();
         let local = HeardHost {
-            hash: host_hash(&self.own),
+            hash: host_hash(&self.local),
             reading: input.role,
             capacity_millicores: self.capacity_millicores,
         };
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -232,7 +232,7 @@
         .config
         .peer_seeds
         .iter()
-        .any(|seed| *seed != peers.own);
+        .any(|seed| *seed != peers.local);
     if has_seeds
         && tokio::time::timeout(LONELY_AFTER, hears_any(&peers))
             .await
@@ -249,7 +249,7 @@
 }
 
 async fn hears_any(peers: &Membership) {
-    while peers.any().is_none() {
+    while peers.any_up().is_none() {
         tokio::time::sleep(LONELY_LOOK).await;
     }
 }
