--- a/crates/gateway/src/fleet/builds.rs
+++ b/crates/gateway/src/fleet/builds.rs
@@ -9,7 +9,6 @@
 use crate::fleet::Fleet;
 use crate::peers::KnownBuilds;
 
-/// Builds and canaries of a pool that may serve a request.
 pub(super) struct EligibleBuilds<'a> {
     filter: BuildFilter<'a>,
     /// The canaries; `None` if every endpoint that passes the filter is eligible.
@@ -25,7 +24,6 @@
 }
 
 impl Fleet {
-    /// The endpoints of a pool that are eligible for a build choice.
     pub(super) fn eligible_builds(
         &self,
         pool: &PoolId,
@@ -82,7 +80,6 @@
         builds
     }
 
-    /// The builds that a pool's endpoints run, except `to`.
     pub(crate) fn builds_from(&self, pool: &PoolId, to: &BuildVersion) -> BTreeSet<BuildVersion> {
         let live = self.endpoints.live(pool);
         let builds = live.iter().map(|member| member.endpoint.build.clone());
@@ -118,7 +115,6 @@
         }
     }
 
-    /// Records the builds that endpoints run.
     pub(super) fn record_builds(&mut self, now_ms: u64) {
         let mut by_pool: BTreeMap<&PoolId, BTreeSet<&BuildVersion>> = BTreeMap::new();
         for member in self.endpoints.listed() {
--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -13,7 +13,6 @@
 const MAX_COLD_SEND_DELAY_MS: u64 = 200;
 
 impl Fleet {
-    /// Sets the pool settings.
     pub(crate) fn set_pools(&mut self, pools: &[PoolRules]) {
         let by_name = pools.iter().map(|pool| (pool.name.clone(), pool.clone()));
         self.pools = by_name.collect();
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -56,7 +56,6 @@
     pub(crate) load: u32,
     /// Another endpoint from which it may copy the prefix.
     pub(crate) holder: Option<SocketAddr>,
-    /// Reason for the selection.
     pub(crate) basis: Basis,
     /// Whether it is known to hold the prefix.
     pub(crate) holds_prefix: bool,
@@ -81,7 +80,6 @@
     changes: VecDeque<EndpointRow>,
     /// `changes` holds every change after this version.
     changes_since: StoreVersion,
-    /// Evacuated zones.
     pub(crate) evacuations: Evacuations,
     /// When prefixes stop being copied from each evacuated zone.
     copy_prefixes_until_ms: HashMap<ZoneId, u64>,
@@ -314,7 +312,6 @@
         !was_suspect && health.is_suspect(now_ms)
     }
 
-    /// The retry budget of a pool.
     pub(crate) fn budget(&mut self, pool: &PoolId) -> &mut WindowBudget {
         let rules = self.budget;
         let budget = self.budgets.entry(pool.clone());
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -78,7 +78,6 @@
         }
     }
 
-    /// Whether a datagram from it arrived recently.
     pub(super) fn is_reporting(&self, now: Instant) -> bool {
         self.received_at.is_some_and(|at| now - at <= HOST_TIMEOUT)
     }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -83,7 +83,6 @@
     pub(crate) endpoints: StoreVersion,
     /// Short hashes of endpoints that are leaving.
     pub(crate) leaving: Vec<u32>,
-    /// Evacuated zones.
     pub(crate) evacuations: Evacuations,
     /// Requests confirmed as poison.
     pub(crate) poison: Vec<PoisonRequest>,
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -18,7 +18,6 @@
 use crate::shared::Shared;
 use crate::subscription::AnsweredHost;
 
-/// Interval between rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS);
 /// Interval while many endpoints are closed: the open ones then receive more requests
 /// between two reports.
@@ -33,9 +32,7 @@
 /// Poison requests in each heartbeat, 14 bytes each, most recently repeated first. Others
 /// are sent once when found, and on request.
 const POISON_PER_DATAGRAM: usize = 16;
-/// Poison updates in a round, 16 bytes each.
 const POISON_UPDATES_PER_ROUND: usize = 60;
-/// Cache entry datagrams in a round.
 const ENTRY_DATAGRAMS_PER_ROUND: usize = 3;
 /// Datagrams of an aggregate in a round; a larger aggregate is sent less often.
 const AGGREGATE_DATAGRAMS_PER_ROUND: usize = 4;
@@ -192,20 +189,15 @@
     });
 }
 
-/// The datagrams of a round.
 #[derive(Default)]
 struct RoundDatagrams {
-    /// To the recipients of the heartbeat.
     to_peers: Vec<Datagram>,
-    /// To relays of other zones, if this host is a relay.
     to_relays: Vec<Datagram>,
-    /// To hosts of a large zone, if this host is its relay.
     to_zone: Vec<Datagram>,
     /// The same, followed by the ID of each recipient's own report.
     aggregates: Vec<Datagram>,
 }
 
-/// Builds the datagrams of a round.
 fn build_datagrams(
     shared: &Shared,
     peers: &Membership,
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -144,7 +144,6 @@
     false
 }
 
-/// Outcome of a pull.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CatchUp {
     /// The host had a complete view and was not suspended recently.
@@ -166,7 +165,6 @@
             if from == first {
                 return CatchUp::Failed;
             }
-            // The alternative is unreachable.
             from = first;
             continue;
         };
@@ -188,7 +186,6 @@
     CatchUp::Failed
 }
 
-/// Whether a busy host still has a newer version.
 fn is_outdated(shared: &Shared, busy: &Busy) -> bool {
     busy.rules > shared.rules.version() || busy.endpoints > shared.fleet().endpoints_version
 }
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -17,12 +17,9 @@
 use crate::shared::Shared;
 use crate::subscription::AnsweredHost;
 
-/// Largest datagram that is received.
 const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
-/// Delay after a failed receive.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Receives datagrams until the process ends.
 pub(crate) async fn receive(shared: Arc<Shared>, peers: Arc<Membership>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut outage = OutageLog::new("datagrams-socket");
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -89,7 +89,6 @@
     })
 }
 
-/// Builds the rollout datagrams of a round.
 pub(super) fn rollout_datagrams(
     fleet: &Fleet,
     peers: &Membership,
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -43,7 +43,6 @@
     pub(crate) is_urgent: bool,
     /// Rounds between two aggregates; more for a large one.
     pub(crate) rounds_per_aggregate: u64,
-    /// Subscription role of this host.
     pub(crate) role: SubscriptionRole,
     /// Hosts whose load is known, this one included.
     pub(crate) known_host_count: usize,
@@ -51,10 +50,8 @@
     pub(crate) uses_fleet_aggregate: bool,
 }
 
-/// Recipients and roles of one gossip round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GossipRound {
-    /// Recipients of this host's heartbeat.
     pub(crate) heartbeat_recipients: Vec<SocketAddr>,
     /// Hosts listed in the heartbeat.
     pub(crate) contacts: Vec<NamedHost>,
@@ -71,14 +68,12 @@
     /// Whether subscribers of other zones read first.
     pub(crate) is_standby: bool,
     pub(crate) is_relay: bool,
-    /// Whether this host's relay roles changed.
     pub(crate) has_relay_change: bool,
     /// Whether this host sends the fleet aggregate to its zone.
     pub(crate) sums_up: bool,
     pub(crate) lost_peers: Vec<MemberChange>,
     /// Hosts that share the store subscription.
     pub(crate) subscriber_count: usize,
-    /// All known hosts.
     pub(crate) host_count: usize,
     /// The hosts that share the request rate of cold endpoints.
     pub(crate) cold_senders: Vec<MemberHash>,
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -21,7 +21,6 @@
 use crate::rules_in_force::RulesNews;
 use crate::shared::Shared;
 
-/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// A requester that knows at most the host count divided by this receives all hosts.
 const FEW_HOSTS_DIVISOR: usize = 2;
@@ -31,7 +30,6 @@
 /// Poison requests in a response, 14 KB at most.
 const MAX_POISON_REQUESTS: usize = 1_024;
 
-/// Answers other hosts until the process ends.
 pub(crate) async fn serve_pulls(
     shared: Arc<Shared>,
     peers: Arc<Membership>,
@@ -73,7 +71,6 @@
     }
 }
 
-/// Answers the requests of one connection.
 #[derive(Clone)]
 struct PeerServer {
     shared: Arc<Shared>,
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -24,7 +24,6 @@
 }
 
 impl Prefixes {
-    /// The directory of prefix holders.
     pub(crate) fn directory(&self) -> &PrefixDirectory {
         &self.directory
     }
@@ -85,7 +84,6 @@
         }
     }
 
-    /// Drops outdated entries.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         self.directory.expire(now_ms);
     }
--- a/crates/gateway/src/rules_in_force.rs
+++ b/crates/gateway/src/rules_in_force.rs
@@ -9,7 +9,6 @@
 /// Rules that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum RulesNews {
-    /// The full document.
     Entire(Arc<RulesDocument>),
     /// Changes since the recipient's version, oldest first.
     Changes(Vec<Arc<RulesChange>>),
@@ -34,7 +33,6 @@
 }
 
 impl RulesInForce {
-    /// The active rules, if any are known.
     pub(crate) fn current(&self) -> Option<Arc<Rules>> {
         self.current.load_full()
     }
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -13,7 +13,6 @@
 use crate::clock::ms;
 use crate::source::Topic;
 
-/// State of one topic.
 #[derive(Debug, Default)]
 struct TopicState {
     is_answered: AtomicBool,
@@ -56,7 +55,6 @@
 /// The host that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnsweredHost {
-    /// This host.
     Own,
     /// A host that reported it directly.
     Near,
@@ -114,9 +112,7 @@
     suspensions: Mutex<Suspensions>,
     /// Incremented when this host polls because its view is stale.
     stale_polls: watch::Sender<u64>,
-    /// Hosts that share the subscription.
     subscriber_count: AtomicUsize,
-    /// All known hosts.
     host_count: AtomicUsize,
     /// Whether this host sends aggregates to other zones.
     is_relay: AtomicBool,
@@ -221,12 +217,10 @@
         self.endpoints.reread.notify_one();
     }
 
-    /// Records that the store answered this host.
     pub(crate) fn answered(&self, topic: Topic) {
         self.topic(topic).is_answered.store(true, Ordering::Relaxed);
     }
 
-    /// Records that the store did not answer.
     pub(crate) fn not_answered(&self, topic: Topic) {
         self.topic(topic)
             .is_answered
@@ -329,7 +323,6 @@
         self.is_standby.store(is_standby, Ordering::Relaxed);
     }
 
-    /// Hosts that share the subscription.
     pub(crate) fn sharing(&self) -> usize {
         self.subscriber_count.load(Ordering::Relaxed)
     }
