--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,12 +1,10 @@
 //! Exchanges load and state with the other hosts of the fleet.
 //!
-//!
 //! Each host periodically sends a datagram with its requests in progress by endpoint, the
 //! versions it knows and the endpoints that are leaving. Datagrams are not acknowledged:
 //! the next one replaces a lost one. A host that learns of a newer version pulls it from
 //! the sender.
 //!
-//!
 //! In a small fleet each host reports to all others. In a large fleet it reports to hosts
 //! of its own availability zone, and two relays of each zone send the zone's aggregate to
 //! other zones, so that cross-zone traffic does not grow quadratically. In a large zone
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -26,8 +26,7 @@
 const ENTRIES_PER_DATAGRAM: usize = 96;
 /// Endpoint load counts in a datagram of about 1 KB.
 const COUNTS_PER_DATAGRAM: usize = 128;
-/// Keeps a heartbeat within one packet at 5 bytes each; the rest follows in the next
-/// rounds.
+/// Keeps a heartbeat within one packet; the rest follows in later rounds.
 const LEAVING_PER_DATAGRAM: usize = 64;
 /// Poison requests in each heartbeat, 14 bytes each, most recently repeated first. Others
 /// are sent once when found, and on request.
@@ -136,8 +135,8 @@
     }
 }
 
-/// Sends a chunk of the fleet aggregate; the ID of the recipient's own report that it
-/// includes follows it.
+/// Sends a chunk of the fleet aggregate, followed by the ID of the recipient's own report
+/// that it includes.
 fn send_aggregate(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
     let Ok(mut bytes) = postcard::to_stdvec(datagram) else {
         return;
@@ -194,7 +193,7 @@
     to_peers: Vec<Datagram>,
     to_relays: Vec<Datagram>,
     to_zone: Vec<Datagram>,
-    /// The same, followed by the ID of each recipient's own report.
+    /// To hosts of the zone, each followed by the ID of the recipient's included report.
     aggregates: Vec<Datagram>,
 }
 
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -157,11 +157,11 @@
 /// Pulls from a host with a newer version, and from the alternatives that it names while it
 /// is busy.
 async fn catch_up(shared: &Shared, peers: &Membership, first: SocketAddr) -> CatchUp {
-    let first_byte = ms(shared.config.follow.pull_timeout_ms);
+    let timeout = ms(shared.config.follow.pull_timeout_ms);
     let mut from = first;
     for _ in 0..MAX_BUSY_ATTEMPTS {
         let known = known_versions(shared, peers);
-        let Some(missing) = pull(shared, from, known, first_byte).await else {
+        let Some(missing) = pull(shared, from, known, timeout).await else {
             if from == first {
                 return CatchUp::Failed;
             }
@@ -212,28 +212,28 @@
     shared: &Shared,
     from: SocketAddr,
     known: Have,
-    first_byte: Duration,
+    first_byte_timeout: Duration,
 ) -> Option<(Missing, Besides)> {
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let count = Arc::new(ByteCount::default());
     let idle_limits = Patience {
-        first: first_byte,
+        first: first_byte_timeout,
         stall: ms(shared.config.follow.stall_ms),
     };
-    let request = ask(from, known, count.clone());
-    let (outcome, missing) = match while_arriving(request, || count.read_bytes(), idle_limits).await
-    {
-        Some(Some((missing, besides))) => {
-            let outcome = match (&missing.busy, &missing.rules) {
-                (Some(_), _) => Some(PullOutcome::Busy),
-                (None, Some(_)) => Some(PullOutcome::Rules),
-                (None, None) => None,
-            };
-            (outcome, Some((missing, besides)))
-        }
-        Some(None) => (Some(PullOutcome::Broken), None),
-        None => (Some(PullOutcome::GivenUp), None),
-    };
+    let response = request_missing(from, known, count.clone());
+    let (outcome, missing) =
+        match while_arriving(response, || count.read_bytes(), idle_limits).await {
+            Some(Some((missing, besides))) => {
+                let outcome = match (&missing.busy, &missing.rules) {
+                    (Some(_), _) => Some(PullOutcome::Busy),
+                    (None, Some(_)) => Some(PullOutcome::Rules),
+                    (None, None) => None,
+                };
+                (outcome, Some((missing, besides)))
+            }
+            Some(None) => (Some(PullOutcome::Broken), None),
+            None => (Some(PullOutcome::GivenUp), None),
+        };
     let read_bytes = count.read_bytes();
     shared
         .metrics
@@ -243,7 +243,7 @@
             from,
             outcome,
             read_bytes,
-            took_ms: began_at.elapsed().as_millis() as u64,
+            took_ms: started_at.elapsed().as_millis() as u64,
         });
     }
     missing
@@ -251,7 +251,7 @@
 
 /// Requests supplementary state first, so that a received list is complete. An older build
 /// closes the connection on that call and is asked for the rest alone.
-async fn ask(
+async fn request_missing(
     address: SocketAddr,
     known: Have,
     count: Arc<ByteCount>,
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -1,6 +1,5 @@
 //! Recipients of one gossip round, and this host's roles in its zone.
 //!
-//!
 //! Roles follow from each host's own view, without agreement. A host reports only to relays
 //! while it receives fleet aggregates from them, and otherwise to all hosts of its zone. If
 //! all relays of a zone fail at once, its hosts exchange heartbeats until new relays take
--- a/crates/gateway/src/peers/uploads.rs
+++ b/crates/gateway/src/peers/uploads.rs
@@ -1,6 +1,5 @@
 //! Limits concurrent large transfers to other hosts.
 //!
-//!
 //! Many hosts request the same state at once, after a rules change or a restart. A few
 //! transfers at a time complete quickly, and their recipients then serve the others.
 
@@ -23,7 +22,6 @@
 }
 
 impl Uploads {
-    /// Allows `most` concurrent transfers.
     pub(crate) fn new(max_concurrent: usize) -> Self {
         Self {
             permits: Arc::new(Semaphore::new(max_concurrent)),
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -12,7 +12,7 @@
     pub(crate) local: Vec<CacheEntry>,
     /// Entries for other zones, if this host is a relay.
     pub(crate) remote_zones: Vec<CacheEntry>,
-    /// Entries from other zones, for hosts of this one.
+    /// Entries to relay to hosts of this zone.
     pub(crate) same_zone: Vec<CacheEntry>,
 }
 
@@ -68,8 +68,7 @@
         }
     }
 
-    /// Takes up to `most` pending entries of each kind and drops the oldest beyond the
-    /// bound.
+    /// Takes some pending entries of each kind and drops the oldest beyond the bound.
     pub(crate) fn take_pending(&mut self, max_per_kind: usize) -> PendingUpdates {
         let take = |pending: &mut Vec<CacheEntry>| {
             let excess = pending.len().saturating_sub(MAX_PENDING);
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -19,7 +19,7 @@
     reread: Notify,
 }
 
-/// Covers suspensions longer than most gaps between answers.
+/// Enough for the gap between two answers, which one long suspension covers.
 const MAX_RETAINED_SUSPENSIONS: usize = 16;
 
 /// Intervals in which this host was suspended and received no reports, oldest first.
