--- a/crates/gateway/src/rules_in_force.rs
+++ b/crates/gateway/src/active_rules.rs
@@ -26,7 +26,7 @@
 
 /// The active rules; their version never decreases.
 #[derive(Default)]
-pub(crate) struct RulesInForce {
+pub(crate) struct ActiveRules {
     current: ArcSwapOption<Rules>,
     /// Locked while rules are activated, so that no change is lost.
     history: Mutex<RulesHistory>,
@@ -97,7 +97,7 @@
     pub(crate) fn news_since(&self, version: RulesVersion) -> Option<RulesNews> {
         let current = self.current().filter(|rules| rules.version() > version)?;
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        let changes = history.since(version).map(RulesNews::Changes);
-        Some(changes.unwrap_or_else(|| RulesNews::Entire(current.document().clone())))
+        let changes = history.since(version).map(RulesUpdate::Changes);
+        Some(changes.unwrap_or_else(|| RulesUpdate::Entire(current.document().clone())))
     }
 }
--- a/crates/gateway/src/fleet/builds.rs
+++ b/crates/gateway/src/fleet/builds.rs
@@ -4,7 +4,7 @@
 
 use chalkrock_core::rendezvous::MemberHash;
 use chalkrock_core::{BuildVersion, PoolId};
-use chalkrock_routing::{BuildFilter, BuildUse, Member, PoolBuilds};
+use chalkrock_routing::{BuildFilter, BuildUse, PoolBuilds, PoolMember};
 
 use crate::fleet::Fleet;
 use crate::peers::KnownBuilds;
@@ -33,7 +33,7 @@
         let filter = self.rollouts.filter(pool, build_use, now_ms);
         let canaries = (build_use == BuildUse::Canary).then(|| {
             let members = self.endpoints.live(pool);
-            let is_new = |member: &&Member| filter.admits(&member.endpoint.build);
+            let is_new = |member: &&PoolMember| filter.admits(&member.endpoint.build);
             let new = members.iter().filter(is_new).map(|member| member.hash);
             let old = members.iter().filter(|member| !is_new(member)).count();
             self.rollouts.canaries(pool, new, old)
@@ -45,7 +45,7 @@
     pub(super) fn of_usual_builds<'a>(
         &'a self,
         pool: &PoolId,
-        members: &'a [Member],
+        members: &'a [PoolMember],
         now_ms: u64,
     ) -> impl Iterator<Item = &'a Member> {
         let stable_use = self.rollouts.usual_use(pool);
@@ -123,7 +123,7 @@
             pool_builds.insert(&endpoint.build);
         }
         for (pool, builds) in by_pool {
-            self.rollouts.builds_listed(pool, builds, now_ms);
+            self.rollouts.record_listed_builds(pool, builds, now_ms);
         }
     }
 }
--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -2,10 +2,10 @@
 
 use chalkrock_core::{Endpoint, PoolId, ZoneId};
 use chalkrock_routing::{
-    EvacuationChange, EvacuationRow, Evacuations, Member, PoolRules, StoreVersion,
+    EvacuationChange, EvacuationRow, Evacuations, PoolMember, PoolRules, StoreVersion,
 };
 
-use crate::fleet::{Choice, Fleet};
+use crate::fleet::{Fleet, SelectedEndpoint};
 use crate::source::ListedEndpoint;
 
 /// Maximum delay between selection of a cold endpoint and sending; requests that waited for
@@ -94,7 +94,7 @@
     pub(crate) fn may_still_send(&mut self, choice: &Choice, now_ms: u64) -> bool {
         let member = &choice.member;
         let backs_off = self.backoffs.is_active(member.hash.short(), now_ms);
-        if backs_off || !self.endpoints.takes_work(&member.endpoint) {
+        if backs_off || !self.endpoints.accepts_work(&member.endpoint) {
             return false;
         }
         let may_send = if choice.is_cold {
@@ -103,7 +103,7 @@
             self.may_send_if_cold(member, now_ms)
         };
         if may_send {
-            self.cold.sent(member.hash.short(), now_ms);
+            self.cold.record_sent(member.hash.short(), now_ms);
         }
         may_send
     }
@@ -170,7 +170,7 @@
     /// Records the remaining cold time in an endpoint's entry.
     pub(super) fn told_cold(&mut self, listed: &ListedEndpoint, now_ms: u64) {
         let short = listed.endpoint.start_hash().short();
-        if self.cold.told(short, listed.cold_left_ms, now_ms) {
+        if self.cold.record_report(short, listed.cold_left_ms, now_ms) {
             self.newly_cold.push(listed.endpoint.clone());
         }
     }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -11,8 +11,8 @@
 use chalkrock_core::{Endpoint, PoolId, ZoneId};
 use chalkrock_routing::{
     Backoffs, Basis, BudgetRules, BuildUse, Candidate, ColdEndpoints, EndpointHealth,
-    EndpointTable, Evacuations, Evidence, FleetLoad, HealthSignal, LongestStay, Member,
-    PlacementRequest, PoisonEvidence, PoolOccupancy, PoolRules, Repeatable, Rollouts,
+    EndpointTable, Evacuations, Evidence, FleetLoad, HealthSignal, MaxServiceTime,
+    PlacementRequest, PoisonEvidence, PoolMember, PoolOccupancy, PoolRules, Repeatable, Rollouts,
     ServiceTimeEwma, Shares, SpreadRules, StoreVersion, WindowBudget, choose,
 };
 
@@ -29,12 +29,12 @@
 /// Concurrent requests that saturate a cold endpoint; `None` if its rate is not limited.
 fn places_while_cold(bears_per_s: f64, service_ms: f64) -> Option<u32> {
     const SECOND_MS: f64 = 1_000.0;
-    (bears_per_s > 0.0).then(|| (bears_per_s * service_ms / SECOND_MS).ceil() as u32)
+    (sustained_per_s > 0.0).then(|| (sustained_per_s * service_ms / SECOND_MS).ceil() as u32)
 }
 
 /// The endpoint that a request needs.
 #[derive(Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct EndpointQuery<'a> {
     pub(crate) pool: &'a PoolId,
     /// Hashes of its shared prompt prefixes, shortest first.
     pub(crate) shared_parts: &'a [u32],
@@ -162,7 +162,7 @@
         let members = self.endpoints.serving(query.pool);
         let deepest = query.shared_parts.last().copied();
         let key = deepest.map(|part| KeyHash(u64::from(part)));
-        let untried: Vec<&Member> = members
+        let untried: Vec<&PoolMember> = members
             .iter()
             .filter(|member| !query.tried.contains(&member.hash.short()))
             .collect();
@@ -189,7 +189,7 @@
         let member = untried[placement.index].clone();
         let holder = self.find_prefix_holder(query, &member, now_ms);
         let is_cold = self.is_bounded(&member, now_ms);
-        Some(Choice {
+        Some(SelectedEndpoint {
             load: candidate.load,
             member,
             holder,
@@ -252,7 +252,7 @@
         let others = live.iter().chain(parting.iter()).chain(&evacuated);
         let others = others.filter(|member| member.hash != chosen.hash);
         let first = others.max_by(|a, b| {
-            let rank = |member: &Member| score(deepest, member.hash, 1.0);
+            let rank = |member: &PoolMember| score(deepest, member.hash, 1.0);
             rank(a).total_cmp(&rank(b))
         })?;
         find_address(first.hash.short())
@@ -269,7 +269,7 @@
         let short = member.hash.short();
         let is_avoided = |health: &EndpointHealth| match query.repeatable {
             Repeatable::Yes => health.is_suspect(now_ms),
-            Repeatable::No => health.is_suspect(now_ms) || health.is_doubtful(now_ms),
+            Repeatable::No => health.is_suspect(now_ms) || health.is_on_probation(now_ms),
         };
         let is_suspect = self.health.get(&short).is_some_and(is_avoided);
         let has_just_returned = self
@@ -280,9 +280,9 @@
         let backs_off = self.backoffs.is_active(short, now_ms);
         Candidate {
             hash: member.hash,
-            load: self.load.of(short),
+            load: self.load.in_progress(short),
             slots: member.endpoint.slots,
-            is_near: member.endpoint.zone == self.zone,
+            is_same_zone: member.endpoint.zone == self.zone,
             is_suspect: is_suspect || has_just_returned,
             holds_prefix: holders.contains(&short),
             is_closed: backs_off || member.is_evacuated || !self.may_send_if_cold(member, now_ms),
@@ -339,7 +339,7 @@
             )
         });
         PoolOccupancy {
-            places,
+            slots,
             in_progress,
             service_ms,
         }
@@ -380,7 +380,7 @@
         now_ms: u64,
     ) {
         for listed in &list {
-            self.told_cold(listed, now_ms);
+            self.record_cold_report(listed, now_ms);
         }
         if self.has_full_list && version.era() > self.endpoints_version.era() {
             // A store restored from a copy lacks recent endpoints until they register
@@ -418,10 +418,11 @@
             self.endpoints_version = row.version;
             match &row.change {
                 EndpointChange::Listed(listed) => {
-                    self.told_cold(listed, now_ms);
+                    self.record_cold_report(listed, now_ms);
                     let endpoint = &listed.endpoint;
                     let builds = [&endpoint.build];
-                    self.rollouts.builds_listed(&endpoint.pool, builds, now_ms);
+                    self.rollouts
+                        .record_listed_builds(&endpoint.pool, builds, now_ms);
                     self.endpoints.upsert(endpoint.clone());
                 }
                 EndpointChange::Gone(name) => self.endpoints.remove(name, now_ms),
@@ -449,7 +450,7 @@
     pub(crate) fn listed(&self, now_ms: u64) -> Vec<ListedEndpoint> {
         let listed = self.endpoints.listed().map(|member| ListedEndpoint {
             endpoint: (*member.endpoint).clone(),
-            cold_left_ms: self.cold.left_ms(member.hash.short(), now_ms),
+            cold_left_ms: self.cold.remaining_ms(member.hash.short(), now_ms),
         });
         listed.collect()
     }
@@ -473,7 +474,7 @@
         let mut row = row.clone();
         if let EndpointChange::Listed(listed) = &mut row.change {
             let short = listed.endpoint.start_hash().short();
-            listed.cold_left_ms = self.cold.left_ms(short, now_ms);
+            listed.cold_left_ms = self.cold.remaining_ms(short, now_ms);
         }
         row
     }
--- a/crates/gateway/src/peers/api.rs
+++ b/crates/gateway/src/peers/api.rs
@@ -6,9 +6,9 @@
 use chalkrock_routing::{Evacuations, PoisonRequest, RulesVersion, StoreVersion};
 use serde::{Deserialize, Serialize};
 
-use crate::peers::message::NamedHost;
-use crate::peers::rollouts::RolloutNews;
-use crate::rules_in_force::RulesNews;
+use crate::active_rules::RulesUpdate;
+use crate::peers::message::HostContact;
+use crate::peers::rollouts::RolloutUpdate;
 use crate::source::{EndpointRow, ListedEndpoint};
 
 /// Versions that the requesting host already knows.
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 
 use chalkrock_routing::{
-    CacheEntry, Evacuations, HostReport, PoisonNews, PoisonRequest, RulesVersion, StoreVersion,
-    SubscriptionRole, SumPath, ZoneSum,
+    AggregatePath, CacheEntry, Evacuations, HostReport, PoisonRequest, PoisonUpdate, RulesVersion,
+    StoreVersion, SubscriptionRole, ZoneAggregate,
 };
 use serde::{Deserialize, Serialize};
 
-use crate::peers::rollouts::{RolloutNews, RolloutTally};
+use crate::peers::rollouts::{RolloutTally, RolloutUpdate};
 
 /// A datagram. Hosts of other builds decode it: existing variants and fields keep their
 /// positions, and new variants are appended, which older builds ignore.
@@ -90,7 +90,7 @@
 
 /// Address and zone of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct NamedHost {
+pub(crate) struct HostContact {
     pub(crate) address: SocketAddr,
     /// Short hash of its availability zone.
     pub(crate) zone: u32,
@@ -122,5 +122,5 @@
     pub(crate) sum: ZoneSum,
     /// Time since the store last answered a host of the zone.
     pub(crate) answered_ago_ms: Option<u32>,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) knowledge: StateDigest,
 }
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/peer_table.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::config::GatewayConfig;
-use crate::peers::message::{Heartbeat, NamedHost, RelaySummary, ZoneMember};
+use crate::peers::message::{Heartbeat, HostContact, RelaySummary, ZoneMember};
 
 /// Silence after which a host is considered down.
 const HOST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -44,7 +44,7 @@
 
 /// Another host.
 #[derive(Clone, Debug)]
-pub(super) struct Member {
+pub(super) struct Peer {
     added_at: Instant,
     /// When a datagram from it last arrived.
     pub(super) received_at: Option<Instant>,
@@ -62,7 +62,7 @@
     pub(super) fleet_aggregate_at: Option<Instant>,
 }
 
-impl Member {
+impl Peer {
     fn new(now: Instant, zone: Option<u32>) -> Self {
         Self {
             added_at: now,
@@ -130,7 +130,7 @@
 
 /// A host came up or went down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct MemberChange {
+pub(crate) struct PeerChange {
     pub(crate) address: SocketAddr,
     pub(crate) is_up: bool,
 }
@@ -170,7 +170,7 @@
             has_other_seeds: config.peer_seeds.iter().any(|seed| *seed != local),
             sums_up: AtomicBool::new(false),
             is_relay: AtomicBool::new(false),
-            writer_place: AtomicUsize::new(0),
+            writer_rank: AtomicUsize::new(0),
             newer: Mutex::default(),
             newer_peer_found: Notify::new(),
         })
@@ -311,7 +311,7 @@
         &self,
         address: SocketAddr,
         heartbeat: &Heartbeat,
-    ) -> Option<MemberChange> {
+    ) -> Option<PeerChange> {
         let now = Instant::now();
         let mut peers = self.peers();
         let peer = peers
@@ -329,7 +329,7 @@
         &self,
         address: SocketAddr,
         summary: &RelaySummary,
-    ) -> Vec<MemberChange> {
+    ) -> Vec<PeerChange> {
         let now = Instant::now();
         let mut peers = self.peers();
         let relay = ZoneMember {
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chalkrock_routing::{CacheEntry, REPORT_INTERVAL_MS, SumPath, ZoneSum};
+use chalkrock_routing::{AggregatePath, CacheEntry, REPORT_INTERVAL_MS, ZoneAggregate};
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
 
 use crate::event_log::Event;
-use crate::peers::membership::{MemberChange, Membership, host_hash};
 use crate::peers::message::{
-    CacheEntries, Datagram, Heartbeat, Knowledge, RelaySummary, ZoneSummary,
+    CacheEntries, Datagram, Heartbeat, RelaySummary, StateDigest, ZoneSummary,
 };
+use crate::peers::peer_table::{PeerChange, PeerTable, host_hash};
 use crate::peers::rollouts::rollout_datagrams;
 use crate::peers::round::{GossipRound, RoundInput};
 use crate::shared::Shared;
@@ -153,7 +153,7 @@
     }
 }
 
-fn apply_round(shared: &Shared, peers: &Membership, round: &GossipRound) {
+fn apply_round(shared: &Shared, peers: &PeerTable, round: &GossipRound) {
     let senders = round.cold_senders.clone();
     let local = host_hash(&peers.local);
     shared
@@ -172,7 +172,7 @@
     if round.has_relay_change {
         shared.event_log.emit(&Event::Relays {
             is_relay: round.is_relay,
-            sums_up: round.sums_up,
+            sums_up: round.aggregates,
         });
     }
     let has_turn = round.is_subscriber;
@@ -199,11 +199,11 @@
 
 fn build_datagrams(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     sequence: u64,
     round: &GossipRound,
 ) -> RoundDatagrams {
-    shared.expire_endpoint_words();
+    shared.expire_endpoint_reports();
     let now_ms = shared.clock.now_ms();
     let rules = shared.rules.version();
     let mut fleet = shared.fleet();
@@ -212,12 +212,12 @@
     fleet.cold.expire(now_ms);
     fleet.prefixes.expire(now_ms);
     fleet.poison.expire(now_ms);
-    let knowledge = Knowledge {
+    let knowledge = StateDigest {
         rules,
         endpoints: fleet.endpoints_version,
         leaving: select_leaving(fleet.endpoints.leaving(), sequence),
         evacuations: fleet.evacuations.clone(),
-        poison: fleet.poison.poison(POISON_PER_DATAGRAM, now_ms),
+        poison: fleet.poison.poison_requests(POISON_PER_DATAGRAM, now_ms),
     };
     let poison_updates = fleet.poison.take_pending(POISON_UPDATES_PER_ROUND, now_ms);
     let answered_ago_ms = |host| shared.subscription.answered_ago_ms(host);
@@ -226,8 +226,8 @@
         zone: peers.zone,
         reading,
         capacity_millicores: peers.capacity_millicores,
-        answered_ago_ms: answered_ago_ms(AnsweredHost::Own),
-        far_answered_ago_ms: answered_ago_ms(AnsweredHost::Far).filter(|_| round.is_relay),
+        answered_ago_ms: answered_ago_ms(AnsweredHost::Local),
+        far_answered_ago_ms: answered_ago_ms(AnsweredHost::RemoteZone).filter(|_| round.is_relay),
         report: fleet.load.report(peers.incarnation, sequence),
         knowledge: knowledge.clone(),
         hosts: round.contacts.clone(),
@@ -253,7 +253,7 @@
     if round.is_relay {
         datagrams.to_relays.extend(rollouts.to_relays);
     }
-    if round.sums_up {
+    if round.aggregates {
         datagrams.to_zone.extend(rollouts.to_zone);
     }
     if round.is_relay {
@@ -261,7 +261,7 @@
         datagrams.to_relays.extend(split_aggregate(sum).map(|sum| {
             Datagram::ZoneSummary(ZoneSummary {
                 sum,
-                answered_ago_ms: answered_ago_ms(AnsweredHost::Near),
+                answered_ago_ms: answered_ago_ms(AnsweredHost::SameZone),
                 knowledge: knowledge.clone(),
             })
         }));
@@ -271,13 +271,13 @@
             &pending.remote_zones,
         ));
     }
-    if round.sums_up {
+    if round.aggregates {
         datagrams.to_zone.push(Datagram::RelaySummary(RelaySummary {
             zone: peers.zone,
             reading,
             capacity_millicores: peers.capacity_millicores,
-            answered_ago_ms: answered_ago_ms(AnsweredHost::Near),
-            far_answered_ago_ms: answered_ago_ms(AnsweredHost::Far),
+            answered_ago_ms: answered_ago_ms(AnsweredHost::SameZone),
+            far_answered_ago_ms: answered_ago_ms(AnsweredHost::RemoteZone),
             knowledge,
             members: round.zone_members.clone(),
         }));
@@ -288,7 +288,7 @@
             .aggregates
             .extend(split_aggregate(sum).map(Datagram::FleetSum));
     } else if round.is_relay {
-        let sums = fleet.load.far_sums(now_ms).into_iter();
+        let sums = fleet.load.remote_zone_aggregates(now_ms).into_iter();
         datagrams
             .to_peers
             .extend(sums.flat_map(split_aggregate).map(Datagram::FarSum));
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::arrival::{Patience, while_arriving};
+use crate::arrival::{IdleLimits, while_arriving};
 use crate::clock::ms;
 use crate::event_log::{Event, PullOutcome};
 use crate::peers::Membership;
@@ -52,12 +52,12 @@
     while !shared.has_view() {
         // Cancels transfers once the view is complete, which frees both links.
         tokio::select! {
-            () = shared.view_known() => {}
+            () = shared.wait_until_view_known() => {}
             () = pull_from_seeds(&shared, &peers) => {}
         }
-        shared.subscription.seeds_asked();
+        shared.subscription.mark_seeds_queried();
         tokio::select! {
-            () = shared.view_known() => {}
+            () = shared.wait_until_view_known() => {}
             () = tokio::time::sleep(pause.mul_f64(rand::rng().random_range(1.0..2.0))) => {}
         }
         pause = (2 * pause).min(MAX_SEED_PAUSE);
@@ -301,7 +301,7 @@
             has_changed = true;
             shared.log_endpoints(SOURCE);
         }
-        shared.endpoints_known();
+        shared.record_endpoints_known();
     }
     if has_changed && shared.subscription.is_relay() {
         // The hosts of a large zone learn of it only from their relays.
@@ -357,6 +357,6 @@
             }
             has_changed
         }
-        EndpointNews::Changes(rows) => fleet.take_changes(rows, now_ms),
+        EndpointUpdate::Changes(rows) => fleet.apply_changes(rows, now_ms),
     }
 }
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -4,13 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chalkrock_routing::{Merged, OwnReport, SumPath, ZoneSum};
+use chalkrock_routing::{AggregatePath, MergeOutcome, ReportId, ZoneAggregate};
 use tokio::net::UdpSocket;
 
 use crate::outage_log::OutageLog;
-use crate::peers::membership::Membership;
 use crate::peers::message::{
-    CacheEntries, Datagram, Heartbeat, Knowledge, RelaySummary, ZoneSummary,
+    CacheEntries, Datagram, Heartbeat, RelaySummary, StateDigest, ZoneSummary,
 };
 use crate::peers::publish::log_peer_change;
 use crate::peers::rollouts::{merge_rollout_update, merge_tally};
@@ -62,7 +61,7 @@
 /// Merges a summary from a relay of this zone.
 fn merge_relay_summary(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     relay: SocketAddr,
     summary: &RelaySummary,
 ) {
@@ -85,7 +84,7 @@
 /// own report that it includes, if any.
 fn merge_fleet_aggregate(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     relay: SocketAddr,
     sum: &ZoneSum,
     remaining: &[u8],
@@ -118,8 +117,8 @@
     merge_store_answer(shared, AnsweredHost::Far, heartbeat.far_answered_ago_ms);
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
-    if peers.counts_alone(heartbeat.zone, fleet.load.far_hosts())
-        && fleet.load.merge(address, heartbeat.report, now_ms) == Merged::Old
+    if peers.counts_alone(heartbeat.zone, fleet.load.remote_host_count())
+        && fleet.load.merge(address, heartbeat.report, now_ms) == MergeOutcome::Stale
     {
         return;
     }
@@ -129,7 +128,7 @@
 
 fn merge_zone_summary(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     address: SocketAddr,
     heartbeat: ZoneSummary,
 ) {
@@ -141,8 +140,10 @@
     merge_store_answer(shared, AnsweredHost::Far, heartbeat.answered_ago_ms);
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
-    let sum: ZoneSum = heartbeat.sum;
-    fleet.load.merge_zone(address, sum, SumPath::Direct, now_ms);
+    let sum: ZoneAggregate = heartbeat.sum;
+    fleet
+        .load
+        .merge_zone_aggregate(address, sum, AggregatePath::Direct, now_ms);
     drop(fleet);
     merge_digest(shared, peers, address, zone, &heartbeat.knowledge);
 }
@@ -164,7 +165,9 @@
     }
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
-    fleet.load.merge_zone(relay, sum, SumPath::Relayed, now_ms);
+    fleet
+        .load
+        .merge_zone_aggregate(relay, sum, AggregatePath::Relayed, now_ms);
 }
 
 fn merge_cache_entries(shared: &Shared, peers: &Membership, received: &CacheEntries) {
@@ -183,7 +186,7 @@
 
 fn merge_digest(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     address: SocketAddr,
     zone: u32,
     digest: &Knowledge,
@@ -192,7 +195,7 @@
         shared
             .metrics
             .count("leaving_heard_from_peers_total", "", 1);
-        if peers.sums_up() {
+        if peers.aggregates() {
             shared.publish_now.notify_one();
         }
     }
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::Fleet;
-use crate::peers::membership::Membership;
 use crate::peers::message::Datagram;
+use crate::peers::peer_table::PeerTable;
 use crate::rollouts::KnownRecord;
 use crate::shared::Shared;
 
@@ -18,7 +18,7 @@
 
 /// Rollout orders and progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct RolloutNews {
+pub(crate) struct RolloutUpdate {
     pub(crate) orders: RolloutOrders,
     pub(crate) pools: Vec<PoolRollout>,
 }
@@ -41,7 +41,7 @@
     pub(crate) order: StoreVersion,
     /// Short hash of the zone of the host or aggregate.
     pub(crate) zone: u32,
-    pub(crate) of: TallyOf,
+    pub(crate) of: TallyScope,
     pub(crate) rows: Vec<TallyRow>,
     /// Longest service time of each route, in milliseconds.
     pub(crate) longest_stays_ms: Vec<(Arc<str>, u64)>,
@@ -83,7 +83,7 @@
             record: record.map(|(record, version)| (record.clone(), version)),
         })
     });
-    Some(RolloutNews {
+    Some(RolloutUpdate {
         orders: rollouts.orders().clone(),
         pools: pools.collect(),
     })
@@ -134,7 +134,7 @@
         let local = local.map(|rows| datagram(TallyOf::Host { incarnation }, rows));
         datagrams.to_peers.extend(local);
         if peers.is_relay() {
-            let zone = Vec::from(evidence.zone_sum());
+            let zone = Vec::from(evidence.zone_tally());
             let zone = zone.chunks(ROWS_PER_DATAGRAM);
             let zone = zone.map(|rows| datagram(TallyOf::Zone, rows));
             datagrams.to_relays.extend(zone);
@@ -170,7 +170,7 @@
 /// Merges a tally from a host or from a relay of another zone.
 pub(super) fn merge_tally(
     shared: &Shared,
-    peers: &Membership,
+    peers: &PeerTable,
     address: SocketAddr,
     received: RolloutTally,
 ) {
@@ -185,7 +185,7 @@
             zone: received.zone,
             relay: address,
         },
-        TallyOf::Host { .. } | TallyOf::Zone => return,
+        TallyScope::Host { .. } | TallyScope::Zone => return,
     };
     if let Some(evidence) = fleet.rollouts.evidence_mut(&received.pool, received.order) {
         evidence.merge(source, received.rows.into());
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -10,12 +10,14 @@
 use std::time::Duration;
 
 use chalkrock_core::rendezvous::{KeyHash, MemberHash, score};
-use chalkrock_routing::{HeardHost, RELAYS, SubscriptionRole, ZoneView, readers_wanted};
+use chalkrock_routing::{
+    RELAYS_PER_ZONE, SubscriptionRole, ZonePeer, ZoneView, subscribers_needed,
+};
 use rand::seq::IndexedRandom;
 use tokio::time::Instant;
 
-use crate::peers::membership::{Member, MemberChange, Membership, host_hash, mark_silent};
-use crate::peers::message::{NamedHost, ZoneMember};
+use crate::peers::message::{HostContact, ZoneMember};
+use crate::peers::peer_table::{Peer, PeerChange, PeerTable, host_hash, mark_silent};
 
 /// Interval between heartbeats to a host that is down.
 const SILENT_RESEND_INTERVAL: Duration = Duration::from_secs(2);
@@ -103,7 +105,7 @@
         } else {
             Some(zone_view.place(&local))
         };
-        self.set_writer_place(writer_place);
+        self.set_writer_place(writer_rank);
         let mut round = GossipRound {
             is_subscriber: zone_view.reads_platform(&local),
             is_preferred: zone_view.is_first_choice(&local),
@@ -277,7 +279,7 @@
 }
 
 struct View {
-    others: Vec<HeardHost>,
+    others: Vec<ZonePeer>,
     hosts: usize,
     zones: usize,
     /// Zones with a lower hash than this one.
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -11,14 +11,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::OwnedSemaphorePermit;
 
-use crate::arrival::{Patience, while_arriving};
+use crate::active_rules::RulesUpdate;
+use crate::arrival::{IdleLimits, while_arriving};
 use crate::clock::ms;
 use crate::outage_log::OutageLog;
 use crate::peers::Membership;
 use crate::peers::api::{Besides, Busy, EndpointNews, Have, Missing, PeerApi};
 use crate::peers::rollouts::rollout_update;
 use crate::peers::uploads::Uploads;
-use crate::rules_in_force::RulesNews;
 use crate::shared::Shared;
 
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -74,7 +74,7 @@
 #[derive(Clone)]
 struct PeerServer {
     shared: Arc<Shared>,
-    peers: Arc<Membership>,
+    peers: Arc<PeerTable>,
     uploads: Arc<Uploads>,
     /// Transfer slot of a large response, held until the connection ends.
     upload: Arc<Mutex<Option<OwnedSemaphorePermit>>>,
@@ -86,7 +86,7 @@
         if have.hosts > hosts.len() / FEW_HOSTS_DIVISOR {
             hosts.clear();
         }
-        self.shared.notice_pause();
+        self.shared.detect_suspension();
         let now_ms = self.shared.clock.now_ms();
         let poison = self
             .shared
@@ -105,10 +105,10 @@
         self.limit_uploads(missing, have.address)
     }
 
-    async fn besides(self, _: tarpc::context::Context) -> Besides {
+    async fn besides(self, _: tarpc::context::Context) -> SupplementaryState {
         let now_ms = self.shared.clock.now_ms();
         let fleet = self.shared.fleet();
-        Besides {
+        SupplementaryState {
             builds: fleet.known_builds(),
             rollouts: rollout_update(&fleet, now_ms),
         }
@@ -126,7 +126,7 @@
         }
         let version = self.shared.rules.version();
         let Some(permit) = self.uploads.begin(version, to) else {
-            let busy = Busy {
+            let busy = BusyResponse {
                 rules: version,
                 endpoints: self.shared.fleet().endpoints_version,
                 ask: self.uploads.recipients(version),
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use chalkrock_routing::{FollowTimes, SubscriptionRole, doubting_part};
+use chalkrock_routing::{SubscriptionRole, SubscriptionTimings, stale_poll_fraction};
 use rand::RngExt;
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
@@ -194,15 +194,15 @@
     }
 
     /// Waits until a topic should be read.
-    pub(crate) async fn due(&self, topic: Topic, times: &FollowTimes) -> Due {
-        let mut has_turn = self.has_turn.subscribe();
-        if *has_turn.borrow_and_update() {
-            return Due::Turn;
+    pub(crate) async fn next_read(&self, topic: Topic, times: &SubscriptionTimings) -> ReadReason {
+        let mut is_subscriber = self.is_subscriber.subscribe();
+        if *is_subscriber.borrow_and_update() {
+            return ReadReason::Subscriber;
         }
         tokio::select! {
-            _never_closed = has_turn.wait_for(|has_turn| *has_turn) => Due::Turn,
-            () = self.again(topic) => Due::Again,
-            () = self.stale(times) => Due::Doubt,
+            _never_closed = is_subscriber.wait_for(|is_subscriber| *is_subscriber) => ReadReason::Subscriber,
+            () = self.wait_for_reread(topic) => ReadReason::Reread,
+            () = self.wait_until_stale(times) => ReadReason::StaleView,
         }
     }
 
@@ -366,7 +366,7 @@
 
     /// This host's subscription role, as reported to peers.
     pub(crate) fn role(&self) -> SubscriptionRole {
-        if !*self.has_turn.borrow() {
+        if !*self.is_subscriber.borrow() {
             return SubscriptionRole::No;
         }
         let is_answered = |state: &TopicState| state.is_answered.load(Ordering::Relaxed);
