--- a/crates/gateway/src/active_rules.rs
+++ b/crates/gateway/src/active_rules.rs
@@ -8,13 +8,13 @@
 
 /// Rules that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum RulesNews {
+pub(crate) enum RulesUpdate {
     Entire(Arc<RulesDocument>),
     /// Changes since the recipient's version, oldest first.
     Changes(Vec<Arc<RulesChange>>),
 }
 
-impl RulesNews {
+impl RulesUpdate {
     /// Number of routes and organisations in the update.
     pub(crate) fn entries(&self) -> usize {
         match self {
@@ -32,7 +32,7 @@
     history: Mutex<RulesHistory>,
 }
 
-impl RulesInForce {
+impl ActiveRules {
     pub(crate) fn current(&self) -> Option<Arc<Rules>> {
         self.current.load_full()
     }
@@ -44,7 +44,7 @@
     }
 
     /// Activates a document if it is newer. Returns whether it is.
-    pub(crate) fn take(&self, mut document: RulesDocument) -> bool {
+    pub(crate) fn replace(&self, mut document: RulesDocument) -> bool {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let current = self.current();
         if current
@@ -66,10 +66,10 @@
 
     /// Activates an update from a peer if it is newer and its changes apply to the active
     /// version. Returns whether it was activated.
-    pub(crate) fn take_news(&self, update: RulesNews) -> bool {
+    pub(crate) fn apply_update(&self, update: RulesUpdate) -> bool {
         let changes = match update {
-            RulesNews::Entire(document) => return self.take(Arc::unwrap_or_clone(document)),
-            RulesNews::Changes(changes) => changes,
+            RulesUpdate::Entire(document) => return self.replace(Arc::unwrap_or_clone(document)),
+            RulesUpdate::Changes(changes) => changes,
         };
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(current) = self.current() else {
@@ -94,7 +94,7 @@
 
     /// The update that a host at a version needs, if any: the changes since, or the full
     /// document if they are not retained.
-    pub(crate) fn news_since(&self, version: RulesVersion) -> Option<RulesNews> {
+    pub(crate) fn update_since(&self, version: RulesVersion) -> Option<RulesUpdate> {
         let current = self.current().filter(|rules| rules.version() > version)?;
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let changes = history.since(version).map(RulesUpdate::Changes);
--- a/crates/gateway/src/fleet/builds.rs
+++ b/crates/gateway/src/fleet/builds.rs
@@ -16,7 +16,7 @@
 }
 
 impl EligibleBuilds<'_> {
-    pub(super) fn admit(&self, member: &Member) -> bool {
+    pub(super) fn admit(&self, member: &PoolMember) -> bool {
         let canaries = self.canaries.as_ref();
         let is_admitted = canaries.is_none_or(|canaries| canaries.contains(&member.hash));
         is_admitted && self.filter.admits(&member.endpoint.build)
@@ -42,13 +42,13 @@
     }
 
     /// The members of a pool whose build most requests use first.
-    pub(super) fn of_usual_builds<'a>(
+    pub(super) fn with_stable_builds<'a>(
         &'a self,
         pool: &PoolId,
         members: &'a [PoolMember],
         now_ms: u64,
-    ) -> impl Iterator<Item = &'a Member> {
-        let stable_use = self.rollouts.usual_use(pool);
+    ) -> impl Iterator<Item = &'a PoolMember> {
+        let stable_use = self.rollouts.stable_use(pool);
         let builds = self.rollouts.filter(pool, stable_use, now_ms);
         let members = members.iter();
         members.filter(move |member| builds.admits(&member.endpoint.build))
@@ -68,9 +68,9 @@
                 builds.old_slots += slots;
             }
         }
-        let known = self.endpoints.known();
+        let known = self.endpoints.known_members();
         for member in known.filter(|member| member.endpoint.pool == *pool) {
-            let in_progress = self.load.of(member.hash.short());
+            let in_progress = self.load.in_progress(member.hash.short());
             if member.endpoint.build == order.build {
                 builds.new_in_progress += in_progress;
             } else {
@@ -88,7 +88,7 @@
 
     /// The builds of all endpoints, to send to another host.
     pub(crate) fn known_builds(&self) -> KnownBuilds {
-        if let Some(usual) = self.rollouts.usual_builds() {
+        if let Some(usual) = self.rollouts.stable_builds() {
             // Avoids a lookup for each endpoint.
             return KnownBuilds {
                 usual,
--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -19,7 +19,7 @@
     }
 
     /// Merges evacuations received from a peer.
-    pub(crate) fn take_evacuations(
+    pub(crate) fn merge_evacuations(
         &mut self,
         evacuations: &Evacuations,
         now_ms: u64,
@@ -30,24 +30,24 @@
     }
 
     /// Replaces the evacuations after a full read of the store.
-    pub(crate) fn read_evacuations(
+    pub(crate) fn replace_evacuations(
         &mut self,
         evacuations: Evacuations,
         now_ms: u64,
     ) -> EvacuationChange {
-        let change = self.evacuations.read(evacuations);
+        let change = self.evacuations.replace(evacuations);
         self.apply_evacuation_change(&change, now_ms);
         change
     }
 
     /// Applies evacuation changes from the store, up to a version.
-    pub(crate) fn follow_evacuations(
+    pub(crate) fn apply_evacuation_changes(
         &mut self,
         rows: &[EvacuationRow],
         until: StoreVersion,
         now_ms: u64,
     ) -> EvacuationChange {
-        let change = self.evacuations.follow(rows, until);
+        let change = self.evacuations.apply_changes(rows, until);
         self.apply_evacuation_change(&change, now_ms);
         change
     }
@@ -64,18 +64,19 @@
         }
         for zone in &change.ended {
             self.copy_prefixes_until_ms.remove(zone);
-            self.doubt_zone(zone, now_ms);
+            self.presume_zone_cold(zone, now_ms);
         }
     }
 
     /// Endpoints of a reopened zone may have turned cold before their entries show it.
-    fn doubt_zone(&mut self, zone: &ZoneId, now_ms: u64) {
+    fn presume_zone_cold(&mut self, zone: &ZoneId, now_ms: u64) {
         for member in self.endpoints.serving_in(zone) {
             let Some(pool) = self.pools.get(&member.endpoint.pool) else {
                 continue;
             };
             let max_cold_ms = pool.cold_start_ms.min(self.entry_delay_ms);
-            self.cold.doubt(member.hash.short(), max_cold_ms, now_ms);
+            self.cold
+                .presume_cold(member.hash.short(), max_cold_ms, now_ms);
         }
     }
 
@@ -91,7 +92,7 @@
 
     /// Checks that the selected endpoint still accepts the request and, if so, records the
     /// send.
-    pub(crate) fn may_still_send(&mut self, choice: &Choice, now_ms: u64) -> bool {
+    pub(crate) fn may_still_send(&mut self, choice: &SelectedEndpoint, now_ms: u64) -> bool {
         let member = &choice.member;
         let backs_off = self.backoffs.is_active(member.hash.short(), now_ms);
         if backs_off || !self.endpoints.accepts_work(&member.endpoint) {
@@ -109,7 +110,7 @@
     }
 
     /// Whether a pool has an endpoint that accepts requests.
-    pub(crate) fn takes_requests(&self, pool: &PoolId, now_ms: u64) -> bool {
+    pub(crate) fn accepts_requests(&self, pool: &PoolId, now_ms: u64) -> bool {
         let live = self.endpoints.live(pool);
         let mut starts = live.iter().map(|member| member.hash.short());
         starts.any(|start| !self.backoffs.is_active(start, now_ms))
@@ -117,15 +118,16 @@
 
     /// Time until an endpoint of the pool accepts requests, in milliseconds; `None` unless
     /// all of them back off.
-    pub(crate) fn backs_off_for_ms(&self, pool: &PoolId, now_ms: u64) -> Option<u64> {
+    pub(crate) fn backoff_remaining_ms(&self, pool: &PoolId, now_ms: u64) -> Option<u64> {
         let live = self.endpoints.live(pool);
-        let usable = self.of_usual_builds(pool, &live, now_ms);
-        let remaining_ms = usable.map(|member| self.backoffs.left_ms(member.hash.short(), now_ms));
+        let usable = self.with_stable_builds(pool, &live, now_ms);
+        let remaining_ms =
+            usable.map(|member| self.backoffs.remaining_ms(member.hash.short(), now_ms));
         remaining_ms.min().filter(|remaining_ms| *remaining_ms > 0)
     }
 
     /// Whether an endpoint is warm or this host's share of its cold rate allows a request.
-    pub(super) fn may_send_if_cold(&self, member: &Member, now_ms: u64) -> bool {
+    pub(super) fn may_send_if_cold(&self, member: &PoolMember, now_ms: u64) -> bool {
         if !self.is_bounded(member, now_ms) {
             return true;
         }
@@ -136,7 +138,7 @@
     }
 
     /// Whether an endpoint is cold and its request rate is limited.
-    pub(super) fn is_bounded(&self, member: &Member, now_ms: u64) -> bool {
+    pub(super) fn is_bounded(&self, member: &PoolMember, now_ms: u64) -> bool {
         if self.cold.is_empty() {
             return false;
         }
@@ -151,7 +153,7 @@
     }
 
     /// Endpoints of evacuated zones from which prefixes may still be copied.
-    pub(super) fn evacuated_copy_sources(&self, pool: &PoolId, now_ms: u64) -> Vec<Member> {
+    pub(super) fn evacuated_copy_sources(&self, pool: &PoolId, now_ms: u64) -> Vec<PoolMember> {
         if self
             .copy_prefixes_until_ms
             .values()
@@ -168,7 +170,7 @@
     }
 
     /// Records the remaining cold time in an endpoint's entry.
-    pub(super) fn told_cold(&mut self, listed: &ListedEndpoint, now_ms: u64) {
+    pub(super) fn record_cold_report(&mut self, listed: &ListedEndpoint, now_ms: u64) {
         let short = listed.endpoint.start_hash().short();
         if self.cold.record_report(short, listed.cold_left_ms, now_ms) {
             self.newly_cold.push(listed.endpoint.clone());
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -27,7 +27,7 @@
 const RETAINED_CHANGES_DIVISOR: usize = 2;
 
 /// Concurrent requests that saturate a cold endpoint; `None` if its rate is not limited.
-fn places_while_cold(bears_per_s: f64, service_ms: f64) -> Option<u32> {
+fn slots_while_cold(sustained_per_s: f64, service_ms: f64) -> Option<u32> {
     const SECOND_MS: f64 = 1_000.0;
     (sustained_per_s > 0.0).then(|| (sustained_per_s * service_ms / SECOND_MS).ceil() as u32)
 }
@@ -50,8 +50,8 @@
 
 /// The endpoint selected for a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Choice {
-    pub(crate) member: Member,
+pub(crate) struct SelectedEndpoint {
+    pub(crate) member: PoolMember,
     /// Requests in progress on it across the fleet, excluding this one.
     pub(crate) load: u32,
     /// Another endpoint from which it may copy the prefix.
@@ -100,7 +100,7 @@
     budgets: HashMap<PoolId, WindowBudget>,
     service_times: HashMap<PoolId, ServiceTimeEwma>,
     /// By pool and route.
-    max_service_times: HashMap<PoolId, HashMap<Arc<str>, LongestStay>>,
+    max_service_times: HashMap<PoolId, HashMap<Arc<str>, MaxServiceTime>>,
     /// Requests in progress on this host by organisation.
     pub(crate) shares: Shares,
     pub(crate) prefixes: Prefixes,
@@ -152,12 +152,17 @@
     }
 
     /// Selects an endpoint of a pool.
-    pub(crate) fn place(&self, query: &Wanted<'_>, now_ms: u64) -> Option<Choice> {
+    pub(crate) fn place(&self, query: &EndpointQuery<'_>, now_ms: u64) -> Option<SelectedEndpoint> {
         let mut uses = query.uses.iter();
         uses.find_map(|build_use| self.place_by(query, *build_use, now_ms))
     }
 
-    fn place_by(&self, query: &Wanted<'_>, build_use: BuildUse, now_ms: u64) -> Option<Choice> {
+    fn place_by(
+        &self,
+        query: &EndpointQuery<'_>,
+        build_use: BuildUse,
+        now_ms: u64,
+    ) -> Option<SelectedEndpoint> {
         let builds = self.eligible_builds(query.pool, build_use, now_ms);
         let members = self.endpoints.serving(query.pool);
         let deepest = query.shared_parts.last().copied();
@@ -181,7 +186,7 @@
             .collect();
         let request = PlacementRequest {
             key,
-            unseen_arrivals: self.unseen_arrivals(query.pool, &members),
+            unreported_arrivals: self.unreported_arrivals(query.pool, &members),
             draw: query.draw,
         };
         let placement = choose(&candidates, &request, &self.spread)?;
@@ -202,12 +207,13 @@
 
     /// Expected arrivals at a pool from other hosts since their last reports, by Little's
     /// law: in-progress requests over the mean service time.
-    fn unseen_arrivals(&self, pool: &PoolId, members: &[Member]) -> f64 {
+    fn unreported_arrivals(&self, pool: &PoolId, members: &[PoolMember]) -> f64 {
         let service_ms = self.mean_service_ms(pool);
         if service_ms <= 0.0 {
             return 0.0;
         }
-        let remote_in_progress = |member: &Member| self.load.of_others(member.hash.short());
+        let remote_in_progress =
+            |member: &PoolMember| self.load.remote_in_progress(member.hash.short());
         let in_progress: u32 = members.iter().map(remote_in_progress).sum();
         f64::from(in_progress) * self.load.report_age_ms() / service_ms
     }
@@ -220,15 +226,15 @@
     /// Finds another holder of the longest known prefix; endpoints that are leaving count.
     fn find_prefix_holder(
         &self,
-        query: &Wanted<'_>,
-        chosen: &Member,
+        query: &EndpointQuery<'_>,
+        chosen: &PoolMember,
         now_ms: u64,
     ) -> Option<SocketAddr> {
         let live = self.endpoints.live(query.pool);
         let evacuated = self.evacuated_copy_sources(query.pool, now_ms);
-        let parting = self.endpoints.parting(query.pool);
+        let leaving_members = self.endpoints.leaving_members(query.pool);
         let find_address = |endpoint: u32| {
-            let mut members = live.iter().chain(parting.iter()).chain(&evacuated);
+            let mut members = live.iter().chain(leaving_members.iter()).chain(&evacuated);
             let member = members.find(|member| member.hash.short() == endpoint)?;
             let is_sound = !self.is_suspect(endpoint, now_ms);
             is_sound.then_some(member.endpoint.address)
@@ -249,7 +255,7 @@
         // No holder is known, as after a restart: use the endpoint that ranks first for the
         // prefix without the chosen one.
         let deepest = KeyHash(u64::from(*query.shared_parts.last()?));
-        let others = live.iter().chain(parting.iter()).chain(&evacuated);
+        let others = live.iter().chain(leaving_members.iter()).chain(&evacuated);
         let others = others.filter(|member| member.hash != chosen.hash);
         let first = others.max_by(|a, b| {
             let rank = |member: &PoolMember| score(deepest, member.hash, 1.0);
@@ -261,8 +267,8 @@
     /// Builds a placement candidate; `holders` are the endpoints that hold the prefix.
     fn candidate(
         &self,
-        member: &Member,
-        query: &Wanted<'_>,
+        member: &PoolMember,
+        query: &EndpointQuery<'_>,
         holders: &[u32],
         now_ms: u64,
     ) -> Candidate {
@@ -322,20 +328,20 @@
     /// for their slots would not be served.
     pub(crate) fn occupancy(&self, pool: &PoolId, now_ms: u64) -> PoolOccupancy {
         let members = self.endpoints.live(pool);
-        let stable_members = self.of_usual_builds(pool, &members, now_ms);
+        let stable_members = self.with_stable_builds(pool, &members, now_ms);
         let accepting = stable_members.filter(|member| {
             let start = member.hash.short();
             !self.is_suspect(start, now_ms) && !self.backoffs.is_active(start, now_ms)
         });
         let service_ms = self.mean_service_ms(pool);
-        let cold_slots = places_while_cold(self.cold_per_s(pool), service_ms);
-        let (places, in_progress) = accepting.fold((0, 0), |(places, in_progress), member| {
+        let cold_slots = slots_while_cold(self.cold_per_s(pool), service_ms);
+        let (slots, in_progress) = accepting.fold((0, 0), |(slots, in_progress), member| {
             let short = member.hash.short();
             let endpoint_slots = member.endpoint.slots;
             let cold_slots = cold_slots.filter(|_| self.is_bounded(member, now_ms));
             (
-                places + cold_slots.map_or(endpoint_slots, |cold| endpoint_slots.min(cold)),
-                self.load.of(short).saturating_add(in_progress),
+                slots + cold_slots.map_or(endpoint_slots, |cold| endpoint_slots.min(cold)),
+                self.load.in_progress(short).saturating_add(in_progress),
             )
         });
         PoolOccupancy {
@@ -347,8 +353,15 @@
 
     /// Longest recent service time for each route of a pool, from this host and from
     /// rollout reports of other hosts.
-    pub(crate) fn longest_stays_ms(&self, pool: &PoolId, now_ms: u64) -> BTreeMap<Arc<str>, u64> {
-        let reported = self.rollouts.evidence(pool).map(Evidence::longest_stays_ms);
+    pub(crate) fn max_service_times_ms(
+        &self,
+        pool: &PoolId,
+        now_ms: u64,
+    ) -> BTreeMap<Arc<str>, u64> {
+        let reported = self
+            .rollouts
+            .evidence(pool)
+            .map(Evidence::max_service_times_ms);
         let mut max_ms = reported.cloned().unwrap_or_default();
         for (route, route_max) in self.max_service_times.get(pool).into_iter().flatten() {
             let route_max_ms = max_ms.entry(route.clone()).or_default();
@@ -385,7 +398,7 @@
         if self.has_full_list && version.era() > self.endpoints_version.era() {
             // A store restored from a copy lacks recent endpoints until they register
             // again.
-            self.store_is_back(now_ms, self.entry_delay_ms);
+            self.store_recovered(now_ms, self.entry_delay_ms);
         }
         // A slow read may be older than what peers have sent.
         let is_older = version < self.endpoints_version;
@@ -408,7 +421,7 @@
 
     /// Applies list changes, oldest first, and skips known ones. Returns whether any was
     /// new.
-    pub(crate) fn take_changes(&mut self, rows: Vec<EndpointRow>, now_ms: u64) -> bool {
+    pub(crate) fn apply_changes(&mut self, rows: Vec<EndpointRow>, now_ms: u64) -> bool {
         let mut has_changed = false;
         for row in rows {
             if row.version <= self.endpoints_version {
@@ -480,7 +493,7 @@
     }
 
     /// Keeps endpoints whose entries lapsed during a store outage for `grace_ms`.
-    pub(crate) fn store_is_back(&mut self, now_ms: u64, grace_ms: u64) {
+    pub(crate) fn store_recovered(&mut self, now_ms: u64, grace_ms: u64) {
         self.endpoints.keep_lapsed(true);
         self.lapsed_until_ms = Some(now_ms + grace_ms);
     }
--- a/crates/gateway/src/peers/api.rs
+++ b/crates/gateway/src/peers/api.rs
@@ -13,7 +13,7 @@
 
 /// Versions that the requesting host already knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Have {
+pub(crate) struct KnownVersions {
     /// Address at which other hosts can query it after the transfer.
     pub(crate) address: SocketAddr,
     pub(crate) rules: RulesVersion,
@@ -25,7 +25,7 @@
 
 /// Endpoint list entries that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum EndpointNews {
+pub(crate) enum EndpointUpdate {
     /// The full list as of a version.
     Entire {
         version: StoreVersion,
@@ -35,7 +35,7 @@
     Changes(Vec<EndpointRow>),
 }
 
-impl EndpointNews {
+impl EndpointUpdate {
     /// Number of endpoints in the update.
     pub(crate) fn entries(&self) -> usize {
         match self {
@@ -47,7 +47,7 @@
 
 /// Returned instead of state while all transfer slots are in use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Busy {
+pub(crate) struct BusyResponse {
     /// Version of the active rules.
     pub(crate) rules: RulesVersion,
     /// Latest known version of the endpoint list.
@@ -58,9 +58,9 @@
 
 /// State that the requesting host is missing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Missing {
-    pub(crate) rules: Option<RulesNews>,
-    pub(crate) endpoints: Option<EndpointNews>,
+pub(crate) struct MissingState {
+    pub(crate) rules: Option<RulesUpdate>,
+    pub(crate) endpoints: Option<EndpointUpdate>,
     /// Evacuated zones; sent along with the endpoints that they affect.
     pub(crate) evacuations: Evacuations,
     /// Requests confirmed as poison.
@@ -68,18 +68,18 @@
     /// Whether the responder has a complete view and was not suspended recently.
     pub(crate) is_fresh: bool,
     /// Hosts of the fleet, for a requester that knows few.
-    pub(crate) hosts: Vec<NamedHost>,
+    pub(crate) hosts: Vec<HostContact>,
     /// Set if the response is incomplete.
-    pub(crate) busy: Option<Busy>,
+    pub(crate) busy: Option<BusyResponse>,
 }
 
-/// State outside [`Missing`], whose format older builds also decode.
+/// State outside [`MissingState`], whose format older builds also decode.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Besides {
+pub(crate) struct SupplementaryState {
     /// Builds that endpoints run.
     pub(crate) builds: KnownBuilds,
     /// Rollout orders and progress.
-    pub(crate) rollouts: Option<RolloutNews>,
+    pub(crate) rollouts: Option<RolloutUpdate>,
 }
 
 /// Builds that endpoints run: one for each pool, and the exceptions.
@@ -95,8 +95,8 @@
 #[tarpc::service]
 pub(crate) trait PeerApi {
     /// Returns state beyond `have`.
-    async fn missing(have: Have) -> Missing;
+    async fn missing(have: KnownVersions) -> MissingState;
 
     /// Returns known builds and rollouts.
-    async fn besides() -> Besides;
+    async fn besides() -> SupplementaryState;
 }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -19,19 +19,19 @@
     /// From a relay of one zone to those of another.
     ZoneSummary(ZoneSummary),
     /// From a relay to the hosts of its zone: the aggregate of a remote zone.
-    FarSum(ZoneSum),
+    FarSum(ZoneAggregate),
     /// New prefix locations.
     CacheEntries(CacheEntries),
     /// Suspected or cleared poison requests.
-    Poison(Vec<PoisonNews>),
+    Poison(Vec<PoisonUpdate>),
     /// From a relay to the hosts of its large zone, which do not receive each other's
     /// heartbeats.
     RelaySummary(RelaySummary),
     /// From a relay to the hosts of its large zone: the fleet aggregate. An `Option` with
     /// the ID of the recipient's own report that the aggregate includes follows it.
-    FleetSum(ZoneSum),
+    FleetSum(ZoneAggregate),
     /// Rollout orders and progress.
-    Rollouts(RolloutNews),
+    Rollouts(RolloutUpdate),
     /// Rollout answers counted by a host or zone.
     RolloutTally(RolloutTally),
 }
@@ -49,7 +49,7 @@
     pub(crate) answered_ago_ms: Option<u32>,
     /// Time since the store last answered a host of a remote zone.
     pub(crate) far_answered_ago_ms: Option<u32>,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) knowledge: StateDigest,
     /// Some of the zone's hosts; successive summaries cover all.
     pub(crate) members: Vec<ZoneMember>,
 }
@@ -70,13 +70,13 @@
     /// Short hash of the zone of origin.
     pub(crate) zone: u32,
     /// Whether the entries were relayed.
-    pub(crate) path: SumPath,
+    pub(crate) path: AggregatePath,
     pub(crate) holdings: Vec<CacheEntry>,
 }
 
 /// Versions and state that peers compare with their own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Knowledge {
+pub(crate) struct StateDigest {
     /// Version of the active rules.
     pub(crate) rules: RulesVersion,
     /// Latest known version of the endpoint list.
@@ -111,15 +111,15 @@
     pub(crate) far_answered_ago_ms: Option<u32>,
     /// Its requests in progress.
     pub(crate) report: HostReport,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) knowledge: StateDigest,
     /// A sample of the hosts that are up.
-    pub(crate) hosts: Vec<NamedHost>,
+    pub(crate) hosts: Vec<HostContact>,
 }
 
 /// State that a relay reports to other zones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ZoneSummary {
-    pub(crate) sum: ZoneSum,
+    pub(crate) sum: ZoneAggregate,
     /// Time since the store last answered a host of the zone.
     pub(crate) answered_ago_ms: Option<u32>,
     pub(crate) knowledge: StateDigest,
--- a/crates/gateway/src/peers/peer_table.rs
+++ b/crates/gateway/src/peers/peer_table.rs
@@ -89,7 +89,7 @@
     }
 
     /// Whether it recently sent the fleet aggregate.
-    pub(super) fn sums_up(&self, now: Instant) -> bool {
+    pub(super) fn aggregates(&self, now: Instant) -> bool {
         self.fleet_aggregate_at
             .is_some_and(|at| now - at <= HOST_TIMEOUT)
     }
@@ -136,7 +136,7 @@
 }
 
 /// The other hosts as this one knows them.
-pub(crate) struct Membership {
+pub(crate) struct PeerTable {
     pub(crate) local: SocketAddr,
     /// Short hash of this host's availability zone.
     pub(crate) zone: u32,
@@ -144,21 +144,21 @@
     pub(crate) capacity_millicores: u16,
     /// Distinguishes restarts of this host.
     pub(crate) incarnation: u64,
-    peers: Mutex<HashMap<SocketAddr, Member>>,
+    peers: Mutex<HashMap<SocketAddr, Peer>>,
     started_at: Instant,
     /// Whether seeds other than this host are configured.
     has_other_seeds: bool,
     /// Whether this host sends the fleet aggregate to its zone.
-    sums_up: AtomicBool,
+    aggregates: AtomicBool,
     /// Whether this host sends aggregates to other zones.
     is_relay: AtomicBool,
     /// Rank of this host among the writers of the fleet.
-    writer_place: AtomicUsize,
+    writer_rank: AtomicUsize,
     newer: Mutex<Option<NewerPeer>>,
     pub(crate) newer_peer_found: Notify,
 }
 
-impl Membership {
+impl PeerTable {
     pub(crate) fn new(local: SocketAddr, config: &GatewayConfig, incarnation: u64) -> Arc<Self> {
         Arc::new(Self {
             local,
@@ -168,7 +168,7 @@
             peers: Mutex::default(),
             started_at: Instant::now(),
             has_other_seeds: config.peer_seeds.iter().any(|seed| *seed != local),
-            sums_up: AtomicBool::new(false),
+            aggregates: AtomicBool::new(false),
             is_relay: AtomicBool::new(false),
             writer_rank: AtomicUsize::new(0),
             newer: Mutex::default(),
@@ -181,13 +181,13 @@
         self.peers().values_mut().for_each(|peer| peer.age(by));
     }
 
-    pub(super) fn peers(&self) -> MutexGuard<'_, HashMap<SocketAddr, Member>> {
+    pub(super) fn peers(&self) -> MutexGuard<'_, HashMap<SocketAddr, Peer>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether this host sends the fleet aggregate to its zone.
-    pub(crate) fn sums_up(&self) -> bool {
-        self.sums_up.load(Ordering::Relaxed)
+    pub(crate) fn aggregates(&self) -> bool {
+        self.aggregates.load(Ordering::Relaxed)
     }
 
     /// Whether this host sends aggregates to other zones.
@@ -197,21 +197,21 @@
 
     /// Rank of this host among the writers of the fleet, 0 first; `None` if it is not a
     /// writer. It is 0 until other hosts are known.
-    pub(crate) fn writer_place(&self) -> Option<usize> {
-        let rank = self.writer_place.load(Ordering::Relaxed);
+    pub(crate) fn writer_rank(&self) -> Option<usize> {
+        let rank = self.writer_rank.load(Ordering::Relaxed);
         (rank != NO_WRITER_RANK).then_some(rank)
     }
 
-    pub(super) fn set_writer_place(&self, rank: Option<usize>) {
+    pub(super) fn set_writer_rank(&self, rank: Option<usize>) {
         let rank = rank.unwrap_or(NO_WRITER_RANK);
-        self.writer_place.store(rank, Ordering::Relaxed);
+        self.writer_rank.store(rank, Ordering::Relaxed);
     }
 
     /// Sets this host's relay roles. Returns whether they changed.
-    pub(super) fn set_relay(&self, is_relay: bool, sums_up: bool) -> bool {
+    pub(super) fn set_relay(&self, is_relay: bool, aggregates: bool) -> bool {
         let was_relay = self.is_relay.swap(is_relay, Ordering::Relaxed);
-        let was_aggregating = self.sums_up.swap(sums_up, Ordering::Relaxed);
-        was_relay != is_relay || was_aggregating != sums_up
+        let was_aggregating = self.aggregates.swap(aggregates, Ordering::Relaxed);
+        was_relay != is_relay || was_aggregating != aggregates
     }
 
     /// Adds possible hosts, with their zones where known.
@@ -222,9 +222,7 @@
             if address == self.local {
                 continue;
             }
-            let peer = peers
-                .entry(address)
-                .or_insert_with(|| Member::new(now, zone));
+            let peer = peers.entry(address).or_insert_with(|| Peer::new(now, zone));
             peer.zone = peer.zone.or(zone);
         }
     }
@@ -238,13 +236,13 @@
     }
 
     /// The hosts that are up, including this one.
-    pub(crate) fn up(&self) -> Vec<NamedHost> {
+    pub(crate) fn up(&self) -> Vec<HostContact> {
         self.contacts_if(|peer| peer.is_up)
     }
 
     /// The hosts of all zones with a recent report, including this one. Hosts of other
     /// zones report rarely in a large fleet.
-    pub(crate) fn recent(&self) -> Vec<NamedHost> {
+    pub(crate) fn recent(&self) -> Vec<HostContact> {
         let now = Instant::now();
         self.contacts_if(|peer| peer.is_recent(now))
     }
@@ -257,8 +255,8 @@
     /// The hosts of this zone that share the request rate of its cold endpoints, including
     /// those silent for up to two minutes. Empty while this host and the others may not
     /// know of each other.
-    pub(super) fn cold_senders(&self, peers: &HashMap<SocketAddr, Member>) -> Vec<MemberHash> {
-        let has_reported = |peer: &Member| peer.received_at.or(peer.listed_at).is_some();
+    pub(super) fn cold_senders(&self, peers: &HashMap<SocketAddr, Peer>) -> Vec<MemberHash> {
+        let has_reported = |peer: &Peer| peer.received_at.or(peer.listed_at).is_some();
         let knows_any = peers.values().any(has_reported);
         let is_alone = self.has_other_seeds && !knows_any;
         if self.started_at.elapsed() < COLD_SENDER_DELAY || is_alone {
@@ -272,8 +270,8 @@
         addresses.map(host_hash).collect()
     }
 
-    fn contacts_if(&self, is_included: impl Fn(&Member) -> bool) -> Vec<NamedHost> {
-        let local = NamedHost {
+    fn contacts_if(&self, is_included: impl Fn(&Peer) -> bool) -> Vec<HostContact> {
+        let local = HostContact {
             address: self.local,
             zone: self.zone,
         };
@@ -281,7 +279,7 @@
         let contacts = peers.iter().filter(|(_, peer)| is_included(peer));
         let contacts = contacts.filter_map(|(&address, peer)| {
             let zone = peer.zone?;
-            Some(NamedHost { address, zone })
+            Some(HostContact { address, zone })
         });
         contacts.chain([local]).collect()
     }
@@ -316,7 +314,7 @@
         let mut peers = self.peers();
         let peer = peers
             .entry(address)
-            .or_insert_with(|| Member::new(now, Some(heartbeat.zone)));
+            .or_insert_with(|| Peer::new(now, Some(heartbeat.zone)));
         peer.received_at = Some(now);
         peer.zone = Some(heartbeat.zone);
         peer.role = heartbeat.reading;
@@ -345,7 +343,7 @@
         for named in members.chain([&relay]) {
             let peer = peers
                 .entry(named.address)
-                .or_insert_with(|| Member::new(now, Some(summary.zone)));
+                .or_insert_with(|| Peer::new(now, Some(summary.zone)));
             peer.zone = Some(summary.zone);
             // A host's own heartbeat takes precedence over a relay's report of it.
             if !peer.is_reporting(now) || named.address == address {
@@ -368,7 +366,7 @@
         let mut peers = self.peers();
         let peer = peers
             .entry(address)
-            .or_insert_with(|| Member::new(now, Some(zone)));
+            .or_insert_with(|| Peer::new(now, Some(zone)));
         peer.received_at = Some(now);
         peer.zone = Some(zone);
         peer.zone_aggregate_at = Some(now);
@@ -392,14 +390,14 @@
 }
 
 /// Marks a host as up. Returns the change if it was down.
-fn mark_up(address: SocketAddr, peer: &mut Member) -> Option<MemberChange> {
+fn mark_up(address: SocketAddr, peer: &mut Peer) -> Option<PeerChange> {
     if peer.is_up {
         return None;
     }
     peer.is_up = true;
     // It may not know this host yet: report to it in the next round.
     peer.sent_at = None;
-    Some(MemberChange {
+    Some(PeerChange {
         address,
         is_up: true,
     })
@@ -408,16 +406,16 @@
 /// Marks silent hosts as down. Returns those of this zone only; in a large fleet the others
 /// report to their relays.
 pub(super) fn mark_silent(
-    peers: &mut HashMap<SocketAddr, Member>,
+    peers: &mut HashMap<SocketAddr, Peer>,
     zone: u32,
     now: Instant,
-) -> Vec<MemberChange> {
+) -> Vec<PeerChange> {
     let mut lost = Vec::new();
     for (address, peer) in peers {
         if peer.is_up && peer.is_silent(now) {
             peer.is_up = false;
             if peer.zone == Some(zone) {
-                lost.push(MemberChange {
+                lost.push(PeerChange {
                     address: *address,
                     is_up: false,
                 });
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -40,7 +40,7 @@
 
 /// Sends rounds of datagrams until the process ends, and an extra one for each urgent
 /// update.
-pub(crate) async fn publish(shared: Arc<Shared>, peers: Arc<Membership>, socket: Arc<UdpSocket>) {
+pub(crate) async fn publish(shared: Arc<Shared>, peers: Arc<PeerTable>, socket: Arc<UdpSocket>) {
     let mut ticks = tokio::time::interval(ROUND_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut sequence = 0;
@@ -68,7 +68,7 @@
         let round = peers.round(&input);
         apply_round(&shared, &peers, &round);
         let datagrams = build_datagrams(&shared, &peers, sequence, &round);
-        rounds_per_aggregate = rounds_for(datagrams.aggregates.len());
+        rounds_per_aggregate = rounds_for(datagrams.aggregate_chunks.len());
         send_round(&shared, &socket, &datagrams, &round);
     }
 }
@@ -89,14 +89,14 @@
             send(shared, socket, datagram, to);
         }
     }
-    for datagram in &datagrams.aggregates {
+    for datagram in &datagrams.aggregate_chunks {
         send_aggregate(shared, socket, datagram, &round.aggregate_recipients);
     }
     let sent_by_kind = to_hosts
         .iter()
         .map(|(datagrams, to)| datagrams.len() * to.len());
-    let sent =
-        sent_by_kind.sum::<usize>() + datagrams.aggregates.len() * round.aggregate_recipients.len();
+    let sent = sent_by_kind.sum::<usize>()
+        + datagrams.aggregate_chunks.len() * round.aggregate_recipients.len();
     shared
         .metrics
         .count("peer_datagrams_sent_total", "", sent as u64);
@@ -114,8 +114,8 @@
         is_urgent,
         rounds_per_aggregate,
         role: shared.subscription.role(),
-        known_host_count: fleet.load.hosts_known(),
-        uses_fleet_aggregate: fleet.load.goes_by_totals(),
+        known_host_count: fleet.load.known_host_count(),
+        uses_fleet_aggregate: fleet.load.uses_fleet_aggregate(),
     }
 }
 
@@ -143,7 +143,7 @@
     };
     let chunk_bytes = bytes.len();
     for address in to {
-        let included_report = shared.fleet().load.counted_report(address);
+        let included_report = shared.fleet().load.included_report(address);
         bytes.truncate(chunk_bytes);
         let Ok(encoded_report) = postcard::to_stdvec(&included_report) else {
             continue;
@@ -167,7 +167,7 @@
     shared
         .subscription
         .set_round(round.subscriber_count, round.host_count, round.is_relay);
-    shared.subscription.set_first_choice(round.is_preferred);
+    shared.subscription.set_preferred(round.is_preferred);
     shared.subscription.set_standby(round.is_standby);
     if round.has_relay_change {
         shared.event_log.emit(&Event::Relays {
@@ -176,12 +176,12 @@
         });
     }
     let has_turn = round.is_subscriber;
-    if shared.subscription.set_turn(has_turn) {
+    if shared.subscription.set_subscriber(has_turn) {
         shared.event_log.emit(&Event::Reads { has_turn });
     }
 }
 
-pub(super) fn log_peer_change(shared: &Shared, change: MemberChange) {
+pub(super) fn log_peer_change(shared: &Shared, change: PeerChange) {
     shared.event_log.emit(&Event::Peer {
         address: change.address,
         is_up: change.is_up,
@@ -194,7 +194,7 @@
     to_relays: Vec<Datagram>,
     to_zone: Vec<Datagram>,
     /// To hosts of the zone, each followed by the ID of the recipient's included report.
-    aggregates: Vec<Datagram>,
+    aggregate_chunks: Vec<Datagram>,
 }
 
 fn build_datagrams(
@@ -219,7 +219,7 @@
         evacuations: fleet.evacuations.clone(),
         poison: fleet.poison.poison_requests(POISON_PER_DATAGRAM, now_ms),
     };
-    let poison_updates = fleet.poison.take_pending(POISON_UPDATES_PER_ROUND, now_ms);
+    let poison_updates = fleet.poison.take_updates(POISON_UPDATES_PER_ROUND, now_ms);
     let answered_ago_ms = |host| shared.subscription.answered_ago_ms(host);
     let reading = shared.subscription.role();
     let heartbeat = Heartbeat {
@@ -239,8 +239,8 @@
         to_peers: vec![Datagram::Heartbeat(heartbeat)],
         ..RoundDatagrams::default()
     };
-    let local_entries = || cache_entries(peers.zone, SumPath::Direct, &pending.local);
-    let relayed = || cache_entries(peers.zone, SumPath::Relayed, &pending.same_zone);
+    let local_entries = || cache_entries(peers.zone, AggregatePath::Direct, &pending.local);
+    let relayed = || cache_entries(peers.zone, AggregatePath::Relayed, &pending.same_zone);
     datagrams.to_peers.extend(local_entries());
     if !poison_updates.is_empty() {
         let update = Datagram::Poison(poison_updates);
@@ -257,7 +257,7 @@
         datagrams.to_zone.extend(rollouts.to_zone);
     }
     if round.is_relay {
-        let sum = fleet.load.zone_sum(peers.zone, now_ms);
+        let sum = fleet.load.zone_aggregate(peers.zone, now_ms);
         datagrams.to_relays.extend(split_aggregate(sum).map(|sum| {
             Datagram::ZoneSummary(ZoneSummary {
                 sum,
@@ -267,7 +267,7 @@
         }));
         datagrams.to_relays.extend(cache_entries(
             peers.zone,
-            SumPath::Direct,
+            AggregatePath::Direct,
             &pending.remote_zones,
         ));
     }
@@ -283,9 +283,9 @@
         }));
         datagrams.to_zone.extend(local_entries());
         datagrams.to_zone.extend(relayed());
-        let sum = fleet.load.fleet_sum(peers.zone);
+        let sum = fleet.load.fleet_aggregate(peers.zone);
         datagrams
-            .aggregates
+            .aggregate_chunks
             .extend(split_aggregate(sum).map(Datagram::FleetSum));
     } else if round.is_relay {
         let sums = fleet.load.remote_zone_aggregates(now_ms).into_iter();
@@ -310,13 +310,13 @@
 }
 
 /// Splits an aggregate into chunks of one datagram each.
-fn split_aggregate(sum: ZoneSum) -> impl Iterator<Item = ZoneSum> {
+fn split_aggregate(sum: ZoneAggregate) -> impl Iterator<Item = ZoneAggregate> {
     sum.split(COUNTS_PER_DATAGRAM).into_iter()
 }
 
 fn cache_entries(
     zone: u32,
-    path: SumPath,
+    path: AggregatePath,
     entries: &[CacheEntry],
 ) -> impl Iterator<Item = Datagram> {
     let datagrams = entries.chunks(ENTRIES_PER_DATAGRAM);
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -18,8 +18,11 @@
 use crate::arrival::{IdleLimits, while_arriving};
 use crate::clock::ms;
 use crate::event_log::{Event, PullOutcome};
-use crate::peers::Membership;
-use crate::peers::api::{Besides, Busy, EndpointNews, Have, KnownBuilds, Missing, PeerApiClient};
+use crate::peers::PeerTable;
+use crate::peers::api::{
+    BusyResponse, EndpointUpdate, KnownBuilds, KnownVersions, MissingState, PeerApiClient,
+    SupplementaryState,
+};
 use crate::peers::rollouts::merge_rollout_update;
 use crate::shared::Shared;
 use crate::source::{EndpointChange, ListedEndpoint};
@@ -47,7 +50,7 @@
 const MAX_BUSY_ATTEMPTS: usize = 50;
 
 /// Queries the seeds until this host has a complete view.
-pub(crate) async fn pull_at_start(shared: Arc<Shared>, peers: Arc<Membership>) {
+pub(crate) async fn pull_at_start(shared: Arc<Shared>, peers: Arc<PeerTable>) {
     let mut pause = MIN_SEED_PAUSE;
     while !shared.has_view() {
         // Cancels transfers once the view is complete, which frees both links.
@@ -73,7 +76,7 @@
 
 /// Queries all seeds at once until one completes the view, and then an alternative that a
 /// busy seed named.
-async fn pull_from_seeds(shared: &Shared, peers: &Membership) {
+async fn pull_from_seeds(shared: &Shared, peers: &PeerTable) {
     let seeds = shared.config.peer_seeds.iter();
     let others = seeds.filter(|seed| **seed != peers.local);
     let pulls = others.map(|seed| {
@@ -99,14 +102,14 @@
 }
 
 /// Pulls whenever another host knows a newer version, until the process ends.
-pub(crate) async fn pull_when_behind(shared: Arc<Shared>, peers: Arc<Membership>) {
+pub(crate) async fn pull_when_outdated(shared: Arc<Shared>, peers: Arc<PeerTable>) {
     // The store may answer within this time, which saves a transfer.
-    let store_wait = ms(shared.config.follow.patience_ms);
+    let store_wait = ms(shared.config.follow.store_wait_ms);
     'wait: loop {
         let notified = tokio::time::timeout(POLL_INTERVAL, peers.newer_peer_found.notified());
         let is_notified = notified.await.is_ok();
         if is_notified {
-            let pause = match (shared.has_view(), shared.subscription.has_turn()) {
+            let pause = match (shared.has_view(), shared.subscription.is_subscriber()) {
                 (false, _) => Duration::ZERO,
                 (true, true) => store_wait,
                 (true, false) => NEWER_PEER_DELAY,
@@ -126,12 +129,12 @@
             }
         }
         // No host with the newer version is reachable; the store may be.
-        shared.subscription.read_again();
+        shared.subscription.request_reread();
     }
 }
 
 /// Pulls from up to two random hosts. Returns whether one of them had a fresh view.
-pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &Membership) -> bool {
+pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &PeerTable) -> bool {
     const MAX_ATTEMPTS: usize = 2;
     for _ in 0..MAX_ATTEMPTS {
         let Some(address) = peers.any_up() else {
@@ -156,7 +159,7 @@
 
 /// Pulls from a host with a newer version, and from the alternatives that it names while it
 /// is busy.
-async fn catch_up(shared: &Shared, peers: &Membership, first: SocketAddr) -> CatchUp {
+async fn catch_up(shared: &Shared, peers: &PeerTable, first: SocketAddr) -> CatchUp {
     let timeout = ms(shared.config.follow.pull_timeout_ms);
     let mut from = first;
     for _ in 0..MAX_BUSY_ATTEMPTS {
@@ -186,18 +189,18 @@
     CatchUp::Failed
 }
 
-fn is_outdated(shared: &Shared, busy: &Busy) -> bool {
+fn is_outdated(shared: &Shared, busy: &BusyResponse) -> bool {
     busy.rules > shared.rules.version() || busy.endpoints > shared.fleet().endpoints_version
 }
 
 /// A random alternative to a busy host.
-fn pick_alternative(busy: &Busy, peers: &Membership) -> Option<SocketAddr> {
+fn pick_alternative(busy: &BusyResponse, peers: &PeerTable) -> Option<SocketAddr> {
     let others = busy.ask.iter().filter(|address| **address != peers.local);
     others.choose(&mut rand::rng()).copied()
 }
 
-fn known_versions(shared: &Shared, peers: &Membership) -> Have {
-    Have {
+fn known_versions(shared: &Shared, peers: &PeerTable) -> KnownVersions {
+    KnownVersions {
         address: peers.local,
         hosts: peers.recent().len(),
         rules: shared.rules.version(),
@@ -211,14 +214,14 @@
 async fn pull(
     shared: &Shared,
     from: SocketAddr,
-    known: Have,
+    known: KnownVersions,
     first_byte_timeout: Duration,
-) -> Option<(Missing, Besides)> {
+) -> Option<(MissingState, SupplementaryState)> {
     let started_at = Instant::now();
     let count = Arc::new(ByteCount::default());
-    let idle_limits = Patience {
-        first: first_byte_timeout,
-        stall: ms(shared.config.follow.stall_ms),
+    let idle_limits = IdleLimits {
+        first_byte: first_byte_timeout,
+        between_bytes: ms(shared.config.follow.stall_ms),
     };
     let response = request_missing(from, known, count.clone());
     let (outcome, missing) =
@@ -253,9 +256,9 @@
 /// closes the connection on that call and is asked for the rest alone.
 async fn request_missing(
     address: SocketAddr,
-    known: Have,
+    known: KnownVersions,
     count: Arc<ByteCount>,
-) -> Option<(Missing, Besides)> {
+) -> Option<(MissingState, SupplementaryState)> {
     let client = connect(address, count.clone()).await?;
     if let Ok(besides) = client.besides(tarpc::context::current()).await {
         let missing = client
@@ -269,7 +272,7 @@
         .missing(tarpc::context::current(), known)
         .await
         .ok()?;
-    Some((missing, Besides::default()))
+    Some((missing, SupplementaryState::default()))
 }
 
 async fn connect(address: SocketAddr, count: Arc<ByteCount>) -> Option<PeerApiClient> {
@@ -281,20 +284,20 @@
 /// Applies a response. Returns the busy response if it was incomplete.
 fn apply(
     shared: &Shared,
-    peers: &Membership,
-    (missing, besides): (Missing, Besides),
-) -> Option<Busy> {
+    peers: &PeerTable,
+    (missing, besides): (MissingState, SupplementaryState),
+) -> Option<BusyResponse> {
     const SOURCE: &str = "peer";
     let hosts = missing.hosts.iter();
     peers.add(hosts.map(|host| (host.address, Some(host.zone))));
     // Evacuations come before endpoints, so that no evacuated endpoint receives requests.
-    let mut has_changed = shared.take_evacuations(&missing.evacuations, SOURCE);
+    let mut has_changed = shared.merge_evacuations(&missing.evacuations, SOURCE);
     has_changed |= shared.merge_poison(&missing.poison, SOURCE);
     if let Some(rollouts) = besides.rollouts {
         merge_rollout_update(shared, rollouts, false);
     }
     if let Some(rules) = missing.rules {
-        has_changed |= shared.take_rules_news(rules, SOURCE);
+        has_changed |= shared.apply_rules_update(rules, SOURCE);
     }
     if let Some(update) = missing.endpoints {
         if apply_endpoints(shared, with_builds(update, &besides.builds)) {
@@ -311,7 +314,7 @@
 }
 
 /// Sets the builds of endpoints where they are known.
-fn with_builds(mut update: EndpointNews, builds: &KnownBuilds) -> EndpointNews {
+fn with_builds(mut update: EndpointUpdate, builds: &KnownBuilds) -> EndpointUpdate {
     let others: HashMap<u32, &BuildVersion> = builds
         .others
         .iter()
@@ -331,8 +334,8 @@
         }
     };
     match &mut update {
-        EndpointNews::Entire { endpoints, .. } => endpoints.iter_mut().for_each(set_build),
-        EndpointNews::Changes(rows) => {
+        EndpointUpdate::Entire { endpoints, .. } => endpoints.iter_mut().for_each(set_build),
+        EndpointUpdate::Changes(rows) => {
             let changes = rows.iter_mut().map(|row| &mut row.change);
             changes
                 .filter_map(|change| match change {
@@ -345,12 +348,12 @@
     update
 }
 
-fn apply_endpoints(shared: &Shared, update: EndpointNews) -> bool {
+fn apply_endpoints(shared: &Shared, update: EndpointUpdate) -> bool {
     let now_ms = shared.clock.now_ms();
     let had_list = shared.knows_endpoints();
     let mut fleet = shared.fleet();
     match update {
-        EndpointNews::Entire { version, endpoints } => {
+        EndpointUpdate::Entire { version, endpoints } => {
             let has_changed = version > fleet.endpoints_version || !had_list;
             if has_changed {
                 fleet.replace(endpoints, version, now_ms);
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -11,6 +11,7 @@
 use crate::peers::message::{
     CacheEntries, Datagram, Heartbeat, RelaySummary, StateDigest, ZoneSummary,
 };
+use crate::peers::peer_table::PeerTable;
 use crate::peers::publish::log_peer_change;
 use crate::peers::rollouts::{merge_rollout_update, merge_tally};
 use crate::shared::Shared;
@@ -19,7 +20,7 @@
 const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-pub(crate) async fn receive(shared: Arc<Shared>, peers: Arc<Membership>, socket: Arc<UdpSocket>) {
+pub(crate) async fn receive(shared: Arc<Shared>, peers: Arc<PeerTable>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut outage = OutageLog::new("datagrams-socket");
     loop {
@@ -45,7 +46,7 @@
             Datagram::ZoneSummary(summary) => merge_zone_summary(&shared, &peers, address, summary),
             Datagram::FarSum(sum) => merge_remote_aggregate(&shared, &peers, address, sum),
             Datagram::CacheEntries(entries) => merge_cache_entries(&shared, &peers, &entries),
-            Datagram::Poison(update) => shared.merge_poison_news(&update, peers.is_relay()),
+            Datagram::Poison(update) => shared.merge_poison_updates(&update, peers.is_relay()),
             Datagram::RelaySummary(summary) => {
                 merge_relay_summary(&shared, &peers, address, &summary)
             }
@@ -71,11 +72,15 @@
     for change in peers.record_relay_summary(relay, summary) {
         log_peer_change(shared, change);
     }
-    if !peers.sums_up() {
+    if !peers.aggregates() {
         // Relays receive these reports directly; taking them from each other would keep
         // outdated ones alive.
-        merge_store_answer(shared, AnsweredHost::Near, summary.answered_ago_ms);
-        merge_store_answer(shared, AnsweredHost::Far, summary.far_answered_ago_ms);
+        merge_store_answer(shared, AnsweredHost::SameZone, summary.answered_ago_ms);
+        merge_store_answer(
+            shared,
+            AnsweredHost::RemoteZone,
+            summary.far_answered_ago_ms,
+        );
     }
     merge_digest(shared, peers, relay, summary.zone, &summary.knowledge);
 }
@@ -86,10 +91,10 @@
     shared: &Shared,
     peers: &PeerTable,
     relay: SocketAddr,
-    sum: &ZoneSum,
+    sum: &ZoneAggregate,
     remaining: &[u8],
 ) {
-    let Ok(included_report) = postcard::from_bytes::<Option<OwnReport>>(remaining) else {
+    let Ok(included_report) = postcard::from_bytes::<Option<ReportId>>(remaining) else {
         shared.metrics.count("peer_garbage_total", "", 1);
         return;
     };
@@ -100,10 +105,10 @@
     shared
         .fleet()
         .load
-        .merge_totals(relay, sum, included_report, now_ms);
+        .merge_fleet_aggregate(relay, sum, included_report, now_ms);
 }
 
-fn merge_heartbeat(shared: &Shared, peers: &Membership, address: SocketAddr, heartbeat: Heartbeat) {
+fn merge_heartbeat(shared: &Shared, peers: &PeerTable, address: SocketAddr, heartbeat: Heartbeat) {
     let change = peers.record_heartbeat(address, &heartbeat);
     if let Some(change) = change.filter(|_| heartbeat.zone == peers.zone) {
         log_peer_change(shared, change);
@@ -113,8 +118,12 @@
         .iter()
         .map(|host| (host.address, Some(host.zone)));
     peers.add(named);
-    merge_store_answer(shared, AnsweredHost::Near, heartbeat.answered_ago_ms);
-    merge_store_answer(shared, AnsweredHost::Far, heartbeat.far_answered_ago_ms);
+    merge_store_answer(shared, AnsweredHost::SameZone, heartbeat.answered_ago_ms);
+    merge_store_answer(
+        shared,
+        AnsweredHost::RemoteZone,
+        heartbeat.far_answered_ago_ms,
+    );
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
     if peers.counts_alone(heartbeat.zone, fleet.load.remote_host_count())
@@ -137,7 +146,7 @@
         return;
     }
     peers.record_zone_relay(address, zone);
-    merge_store_answer(shared, AnsweredHost::Far, heartbeat.answered_ago_ms);
+    merge_store_answer(shared, AnsweredHost::RemoteZone, heartbeat.answered_ago_ms);
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
     let sum: ZoneAggregate = heartbeat.sum;
@@ -150,7 +159,7 @@
 
 /// Merges a report of the store's last answer.
 fn merge_store_answer(shared: &Shared, host: AnsweredHost, ago_ms: Option<u32>) {
-    let gap = shared.store_answered_any(host, ago_ms);
+    let gap = shared.record_any_store_answer(host, ago_ms);
     if shared
         .subscription
         .should_relay_answer(gap, &shared.config.follow)
@@ -159,7 +168,12 @@
     }
 }
 
-fn merge_remote_aggregate(shared: &Shared, peers: &Membership, relay: SocketAddr, sum: ZoneSum) {
+fn merge_remote_aggregate(
+    shared: &Shared,
+    peers: &PeerTable,
+    relay: SocketAddr,
+    sum: ZoneAggregate,
+) {
     if sum.zone == peers.zone {
         return;
     }
@@ -170,17 +184,17 @@
         .merge_zone_aggregate(relay, sum, AggregatePath::Relayed, now_ms);
 }
 
-fn merge_cache_entries(shared: &Shared, peers: &Membership, received: &CacheEntries) {
+fn merge_cache_entries(shared: &Shared, peers: &PeerTable, received: &CacheEntries) {
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
     match received.path {
-        SumPath::Relayed => fleet.prefixes.merge_relayed(&received.holdings, now_ms),
-        SumPath::Direct if received.zone == peers.zone => {
+        AggregatePath::Relayed => fleet.prefixes.merge_relayed(&received.holdings, now_ms),
+        AggregatePath::Direct if received.zone == peers.zone => {
             fleet
                 .prefixes
-                .merge_near(&received.holdings, peers.sums_up(), now_ms);
+                .merge_same_zone(&received.holdings, peers.aggregates(), now_ms);
         }
-        SumPath::Direct => fleet.prefixes.merge_far(&received.holdings, now_ms),
+        AggregatePath::Direct => fleet.prefixes.merge_remote_zone(&received.holdings, now_ms),
     }
 }
 
@@ -189,7 +203,7 @@
     peers: &PeerTable,
     address: SocketAddr,
     zone: u32,
-    digest: &Knowledge,
+    digest: &StateDigest,
 ) {
     if shared.mark_leaving(&digest.leaving, "peer", None) {
         shared
@@ -199,7 +213,7 @@
             shared.publish_now.notify_one();
         }
     }
-    if shared.take_evacuations(&digest.evacuations, "peer") && peers.is_relay() {
+    if shared.merge_evacuations(&digest.evacuations, "peer") && peers.is_relay() {
         shared.publish_now.notify_one();
     }
     if shared.merge_poison(&digest.poison, "peer") && peers.is_relay() {
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -49,7 +49,7 @@
 
 /// Scope of a tally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum TallyOf {
+pub(crate) enum TallyScope {
     /// The sender, in one incarnation.
     Host { incarnation: u64 },
     /// All hosts of the sender's zone that report to it.
@@ -68,7 +68,7 @@
 }
 
 /// The known rollouts, to send to another host; `None` if there are none.
-pub(super) fn rollout_update(fleet: &Fleet, now_ms: u64) -> Option<RolloutNews> {
+pub(super) fn rollout_update(fleet: &Fleet, now_ms: u64) -> Option<RolloutUpdate> {
     let rollouts = &fleet.rollouts;
     if rollouts.is_empty() {
         return None;
@@ -89,11 +89,7 @@
     })
 }
 
-pub(super) fn rollout_datagrams(
-    fleet: &Fleet,
-    peers: &Membership,
-    now_ms: u64,
-) -> RolloutDatagrams {
+pub(super) fn rollout_datagrams(fleet: &Fleet, peers: &PeerTable, now_ms: u64) -> RolloutDatagrams {
     let Some(update) = rollout_update(fleet, now_ms) else {
         return RolloutDatagrams::default();
     };
@@ -116,9 +112,9 @@
         if is_over {
             continue;
         }
-        let max_service_times_ms = fleet.longest_stays_ms(pool, now_ms);
+        let max_service_times_ms = fleet.max_service_times_ms(pool, now_ms);
         let max_service_times_ms: Vec<(Arc<str>, u64)> = max_service_times_ms.into_iter().collect();
-        let datagram = |of: TallyOf, rows: &[TallyRow]| {
+        let datagram = |of: TallyScope, rows: &[TallyRow]| {
             Datagram::RolloutTally(RolloutTally {
                 pool: pool.clone(),
                 order,
@@ -129,14 +125,14 @@
             })
         };
         let incarnation = peers.incarnation;
-        let local = Vec::from(evidence.own().clone());
+        let local = Vec::from(evidence.local_tally().clone());
         let local = local.chunks(ROWS_PER_DATAGRAM);
-        let local = local.map(|rows| datagram(TallyOf::Host { incarnation }, rows));
+        let local = local.map(|rows| datagram(TallyScope::Host { incarnation }, rows));
         datagrams.to_peers.extend(local);
         if peers.is_relay() {
             let zone = Vec::from(evidence.zone_tally());
             let zone = zone.chunks(ROWS_PER_DATAGRAM);
-            let zone = zone.map(|rows| datagram(TallyOf::Zone, rows));
+            let zone = zone.map(|rows| datagram(TallyScope::Zone, rows));
             datagrams.to_relays.extend(zone);
         }
     }
@@ -144,14 +140,14 @@
 }
 
 /// Merges rollout state from a peer. A relay passes on what is new.
-pub(super) fn merge_rollout_update(shared: &Shared, update: RolloutNews, passes_on: bool) {
+pub(super) fn merge_rollout_update(shared: &Shared, update: RolloutUpdate, passes_on: bool) {
     const SOURCE: &str = "peer";
-    let mut has_changed = shared.take_rollout_orders(&update.orders, SOURCE);
+    let mut has_changed = shared.merge_rollout_orders(&update.orders, SOURCE);
     let now_ms = shared.clock.now_ms();
     for received in update.pools {
         let mut fleet = shared.fleet();
         let rollouts = &mut fleet.rollouts;
-        rollouts.take_age(&received.pool, received.order, received.age_ms, now_ms);
+        rollouts.merge_age(&received.pool, received.order, received.age_ms, now_ms);
         drop(fleet);
         if let Some((record, version)) = received.record {
             let known = KnownRecord {
@@ -159,7 +155,7 @@
                 record,
                 version,
             };
-            has_changed |= shared.take_rollout_record(known, None, SOURCE);
+            has_changed |= shared.merge_rollout_record(known, None, SOURCE);
         }
     }
     if has_changed && passes_on {
@@ -175,13 +171,13 @@
     received: RolloutTally,
 ) {
     let mut fleet = shared.fleet();
-    let counts_alone = peers.counts_alone(received.zone, fleet.load.far_hosts());
+    let counts_alone = peers.counts_alone(received.zone, fleet.load.remote_host_count());
     let source = match received.of {
-        TallyOf::Host { incarnation } if counts_alone => EvidenceSource::Host {
+        TallyScope::Host { incarnation } if counts_alone => EvidenceSource::Host {
             host: address,
             incarnation,
         },
-        TallyOf::Zone if received.zone != peers.zone => EvidenceSource::Zone {
+        TallyScope::Zone if received.zone != peers.zone => EvidenceSource::Zone {
             zone: received.zone,
             relay: address,
         },
@@ -190,7 +186,7 @@
     if let Some(evidence) = fleet.rollouts.evidence_mut(&received.pool, received.order) {
         evidence.merge(source, received.rows.into());
         for (route, service_ms) in &received.longest_stays_ms {
-            evidence.stayed(route, *service_ms);
+            evidence.record_service_time(route, *service_ms);
         }
     }
 }
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -55,7 +55,7 @@
 pub(crate) struct GossipRound {
     pub(crate) heartbeat_recipients: Vec<SocketAddr>,
     /// Hosts listed in the heartbeat.
-    pub(crate) contacts: Vec<NamedHost>,
+    pub(crate) contacts: Vec<HostContact>,
     /// Relays of other zones that receive this zone's aggregate, if this host is a relay.
     pub(crate) remote_relays: Vec<SocketAddr>,
     /// Hosts of this zone that receive the fleet aggregate, if this host is a relay of a
@@ -71,8 +71,8 @@
     pub(crate) is_relay: bool,
     pub(crate) has_relay_change: bool,
     /// Whether this host sends the fleet aggregate to its zone.
-    pub(crate) sums_up: bool,
-    pub(crate) lost_peers: Vec<MemberChange>,
+    pub(crate) aggregates: bool,
+    pub(crate) lost_peers: Vec<PeerChange>,
     /// Hosts that share the store subscription.
     pub(crate) subscriber_count: usize,
     pub(crate) host_count: usize,
@@ -80,7 +80,7 @@
     pub(crate) cold_senders: Vec<MemberHash>,
 }
 
-impl Membership {
+impl PeerTable {
     /// Computes the recipients of the next round and this host's roles.
     pub(crate) fn round(&self, input: &RoundInput) -> GossipRound {
         let now = Instant::now();
@@ -90,33 +90,33 @@
         let lost_peers = mark_silent(&mut peers, self.zone, now);
         let view = self.view(&peers, input.known_host_count);
         let zone_view = view.zone_view();
-        let local = HeardHost {
+        let local = ZonePeer {
             hash: host_hash(&self.local),
-            reading: input.role,
+            role: input.role,
             capacity_millicores: self.capacity_millicores,
         };
         let is_large = zone_view.is_large();
-        let rank = zone_view.relay_place(&local).filter(|_| is_large);
-        let is_relayed = zone_view.is_relayed(self.sums_up());
-        let sums_up = rank.is_some() && is_relayed;
-        let has_relay_change = self.set_relay(rank.is_some(), sums_up);
-        let writer_place = if is_large {
-            rank.map(|rank| RELAYS * view.zones_before + rank)
+        let rank = zone_view.relay_rank(&local).filter(|_| is_large);
+        let uses_relays = zone_view.uses_relays(self.aggregates());
+        let aggregates = rank.is_some() && uses_relays;
+        let has_relay_change = self.set_relay(rank.is_some(), aggregates);
+        let writer_rank = if is_large {
+            rank.map(|rank| RELAYS_PER_ZONE * view.zones_before + rank)
         } else {
-            Some(zone_view.place(&local))
+            Some(zone_view.rank(&local))
         };
-        self.set_writer_place(writer_rank);
+        self.set_writer_rank(writer_rank);
         let mut round = GossipRound {
-            is_subscriber: zone_view.reads_platform(&local),
-            is_preferred: zone_view.is_first_choice(&local),
+            is_subscriber: zone_view.is_subscriber(&local),
+            is_preferred: zone_view.is_preferred_subscriber(&local),
             contacts,
             is_standby: view.zones_before >= PRIMARY_SUBSCRIBER_ZONES,
             is_relay: rank.is_some(),
             has_relay_change,
-            sums_up,
+            aggregates,
             lost_peers,
             subscriber_count: if is_large {
-                readers_wanted(view.hosts)
+                subscribers_needed(view.hosts)
             } else {
                 view.others.len()
             },
@@ -126,27 +126,27 @@
         };
         if let Some(rank) = rank {
             round.remote_relays = self.remote_relays(&peers, now);
-            if sums_up {
+            if aggregates {
                 round.aggregate_recipients = self.aggregate_recipients(&peers, rank, input);
                 round.zone_members = self.listed_zone_members(&peers, input.number, now);
             }
         }
-        let reports_to_relays = sums_up || input.uses_fleet_aggregate;
+        let reports_to_relays = aggregates || input.uses_fleet_aggregate;
         round.heartbeat_recipients =
             self.heartbeat_recipients(&mut peers, now, is_large, reports_to_relays);
         round
     }
 
     /// A random sample of the hosts that are up.
-    fn sample_contacts(&self) -> Vec<NamedHost> {
+    fn sample_contacts(&self) -> Vec<HostContact> {
         let up = self.up();
         up.sample(&mut rand::rng(), MAX_CONTACTS).copied().collect()
     }
 
-    fn view(&self, peers: &HashMap<SocketAddr, Member>, known_host_count: usize) -> View {
+    fn view(&self, peers: &HashMap<SocketAddr, Peer>, known_host_count: usize) -> View {
         let up = || peers.iter().filter(|(_, peer)| peer.is_up);
         let same_zone = up().filter(|(_, peer)| peer.zone == Some(self.zone));
-        let others: Vec<HeardHost> = same_zone.map(zone_peer).collect();
+        let others: Vec<ZonePeer> = same_zone.map(zone_peer).collect();
         let mut zones: Vec<u32> = peers.values().filter_map(|peer| peer.zone).collect();
         zones.push(self.zone);
         zones.sort_unstable();
@@ -171,7 +171,7 @@
 
     fn heartbeat_recipients(
         &self,
-        peers: &mut HashMap<SocketAddr, Member>,
+        peers: &mut HashMap<SocketAddr, Peer>,
         now: Instant,
         is_large: bool,
         reports_to_relays: bool,
@@ -179,7 +179,7 @@
         let mut recipients = Vec::new();
         for (address, peer) in peers {
             let is_remote = peer.zone.is_some_and(|zone| zone != self.zone);
-            let uses_relays = reports_to_relays && !peer.sums_up(now);
+            let uses_relays = reports_to_relays && !peer.aggregates(now);
             let interval = if is_large && is_remote {
                 REMOTE_RESEND_INTERVAL
             } else if !peer.is_up {
@@ -201,7 +201,7 @@
     /// primary relay and receives the other's every few rounds.
     fn aggregate_recipients(
         &self,
-        peers: &HashMap<SocketAddr, Member>,
+        peers: &HashMap<SocketAddr, Peer>,
         rank: usize,
         input: &RoundInput,
     ) -> Vec<SocketAddr> {
@@ -221,7 +221,7 @@
     /// The hosts to list in a round: those with recent heartbeats, in rotation.
     fn listed_zone_members(
         &self,
-        peers: &HashMap<SocketAddr, Member>,
+        peers: &HashMap<SocketAddr, Peer>,
         number: u64,
         now: Instant,
     ) -> Vec<ZoneMember> {
@@ -247,8 +247,8 @@
 
     /// The recipients in each other zone: its active relays, or else the hosts most likely
     /// to become relays and a random one in case these are down.
-    fn remote_relays(&self, peers: &HashMap<SocketAddr, Member>, now: Instant) -> Vec<SocketAddr> {
-        let mut by_zone: BTreeMap<u32, Vec<(&SocketAddr, &Member)>> = BTreeMap::new();
+    fn remote_relays(&self, peers: &HashMap<SocketAddr, Peer>, now: Instant) -> Vec<SocketAddr> {
+        let mut by_zone: BTreeMap<u32, Vec<(&SocketAddr, &Peer)>> = BTreeMap::new();
         for (address, peer) in peers {
             if let Some(zone) = peer.zone.filter(|zone| *zone != self.zone) {
                 by_zone.entry(zone).or_default().push((address, peer));
@@ -296,10 +296,10 @@
     }
 }
 
-fn zone_peer((address, peer): (&SocketAddr, &Member)) -> HeardHost {
-    HeardHost {
+fn zone_peer((address, peer): (&SocketAddr, &Peer)) -> ZonePeer {
+    ZonePeer {
         hash: host_hash(address),
-        reading: peer.role,
+        role: peer.role,
         capacity_millicores: peer.capacity_millicores,
     }
 }
@@ -311,5 +311,5 @@
 
 /// The rank of a host's primary relay.
 fn primary_relay_rank(address: &SocketAddr) -> usize {
-    host_hash(address).short() as usize % RELAYS
+    host_hash(address).short() as usize % RELAYS_PER_ZONE
 }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -15,8 +15,10 @@
 use crate::arrival::{IdleLimits, while_arriving};
 use crate::clock::ms;
 use crate::outage_log::OutageLog;
-use crate::peers::Membership;
-use crate::peers::api::{Besides, Busy, EndpointNews, Have, Missing, PeerApi};
+use crate::peers::PeerTable;
+use crate::peers::api::{
+    BusyResponse, EndpointUpdate, KnownVersions, MissingState, PeerApi, SupplementaryState,
+};
 use crate::peers::rollouts::rollout_update;
 use crate::peers::uploads::Uploads;
 use crate::shared::Shared;
@@ -30,11 +32,7 @@
 /// Poison requests in a response, 14 KB at most.
 const MAX_POISON_REQUESTS: usize = 1_024;
 
-pub(crate) async fn serve_pulls(
-    shared: Arc<Shared>,
-    peers: Arc<Membership>,
-    listener: TcpListener,
-) {
+pub(crate) async fn serve_pulls(shared: Arc<Shared>, peers: Arc<PeerTable>, listener: TcpListener) {
     let uploads = Arc::new(Uploads::new(shared.config.uploads_max));
     let mut outage = OutageLog::new("peers-socket");
     loop {
@@ -53,10 +51,10 @@
 /// hold a transfer slot.
 async fn serve_connection(server: PeerServer, stream: TcpStream) {
     let count = Arc::new(ByteCount::default());
-    let stall = ms(server.shared.config.follow.stall_ms);
-    let idle_limits = Patience {
-        first: stall,
-        stall,
+    let between_bytes = ms(server.shared.config.follow.stall_ms);
+    let idle_limits = IdleLimits {
+        first_byte: between_bytes,
+        between_bytes,
     };
     let channel = BaseChannel::with_defaults(transport(stream, count.clone()));
     let requests = run_requests(channel.execute(server.serve()));
@@ -81,7 +79,7 @@
 }
 
 impl PeerApi for PeerServer {
-    async fn missing(self, _: tarpc::context::Context, have: Have) -> Missing {
+    async fn missing(self, _: tarpc::context::Context, have: KnownVersions) -> MissingState {
         let mut hosts = self.peers.recent();
         if have.hosts > hosts.len() / FEW_HOSTS_DIVISOR {
             hosts.clear();
@@ -92,9 +90,9 @@
             .shared
             .fleet()
             .poison
-            .poison(MAX_POISON_REQUESTS, now_ms);
-        let missing = Missing {
-            rules: self.shared.rules.news_since(have.rules),
+            .poison_requests(MAX_POISON_REQUESTS, now_ms);
+        let missing = MissingState {
+            rules: self.shared.rules.update_since(have.rules),
             endpoints: endpoint_update(&self.shared, have.endpoints),
             evacuations: self.shared.fleet().evacuations.clone(),
             poison,
@@ -118,9 +116,12 @@
 impl PeerServer {
     /// Limits concurrent large responses: without a free slot, returns only small parts and
     /// a busy response.
-    fn limit_uploads(&self, missing: Missing, to: SocketAddr) -> Missing {
-        let rules = missing.rules.as_ref().map_or(0, RulesNews::entries);
-        let endpoints = missing.endpoints.as_ref().map_or(0, EndpointNews::entries);
+    fn limit_uploads(&self, missing: MissingState, to: SocketAddr) -> MissingState {
+        let rules = missing.rules.as_ref().map_or(0, RulesUpdate::entries);
+        let endpoints = missing
+            .endpoints
+            .as_ref()
+            .map_or(0, EndpointUpdate::entries);
         if rules + endpoints <= MAX_UNLIMITED_ENTRIES {
             return missing;
         }
@@ -131,7 +132,7 @@
                 endpoints: self.shared.fleet().endpoints_version,
                 ask: self.uploads.recipients(version),
             };
-            return Missing {
+            return MissingState {
                 rules: missing.rules.filter(|_| rules <= MAX_UNLIMITED_ENTRIES),
                 endpoints: missing
                     .endpoints
@@ -147,13 +148,13 @@
 }
 
 /// The endpoint list entries that a host at a version is missing.
-fn endpoint_update(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointNews> {
+fn endpoint_update(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointUpdate> {
     if !shared.knows_endpoints() {
         return None;
     }
     let now_ms = shared.clock.now_ms();
     let fleet = shared.fleet();
-    let full_list = || EndpointNews::Entire {
+    let full_list = || EndpointUpdate::Entire {
         version: fleet.endpoints_version,
         endpoints: fleet.listed(now_ms),
     };
@@ -163,6 +164,8 @@
     if fleet.endpoints_version <= have {
         return None;
     }
-    let changes = fleet.changes_after(have, now_ms).map(EndpointNews::Changes);
+    let changes = fleet
+        .changes_after(have, now_ms)
+        .map(EndpointUpdate::Changes);
     Some(changes.unwrap_or_else(full_list))
 }
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -29,10 +29,10 @@
     }
 
     /// Records that an endpoint holds the prompt's prefixes after it answers.
-    pub(crate) fn note(&mut self, parts: &[u32], endpoint: u32, now_ms: u64) {
+    pub(crate) fn record(&mut self, parts: &[u32], endpoint: u32, now_ms: u64) {
         for &part in parts {
             let entry = CacheEntry { part, endpoint };
-            if self.directory.note(entry, now_ms) {
+            if self.directory.record(entry, now_ms) {
                 self.pending.local.push(entry);
                 self.pending.remote_zones.push(entry);
             }
@@ -41,11 +41,16 @@
 
     /// Merges entries from a host of the same zone and queues them for other zones; a relay
     /// of a large zone also queues them for its own.
-    pub(crate) fn merge_near(&mut self, entries: &[CacheEntry], sums_up: bool, now_ms: u64) {
+    pub(crate) fn merge_same_zone(
+        &mut self,
+        entries: &[CacheEntry],
+        aggregates: bool,
+        now_ms: u64,
+    ) {
         for entry in entries {
             if self.directory.merge(*entry, now_ms) {
                 self.pending.remote_zones.push(*entry);
-                if sums_up {
+                if aggregates {
                     self.pending.same_zone.push(*entry);
                 }
             }
@@ -53,7 +58,7 @@
     }
 
     /// Merges entries from a remote zone and queues them for this one.
-    pub(crate) fn merge_far(&mut self, entries: &[CacheEntry], now_ms: u64) {
+    pub(crate) fn merge_remote_zone(&mut self, entries: &[CacheEntry], now_ms: u64) {
         for entry in entries {
             if self.directory.merge(*entry, now_ms) {
                 self.pending.same_zone.push(*entry);
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -248,7 +248,7 @@
     }
 }
 
-async fn hears_any(peers: &Membership) {
+async fn hears_any(peers: &PeerTable) {
     while peers.any_up().is_none() {
         tokio::time::sleep(LONELY_LOOK).await;
     }
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -55,11 +55,11 @@
 /// The host that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnsweredHost {
-    Own,
+    Local,
     /// A host that reported it directly.
-    Near,
+    SameZone,
     /// A host of another zone, as reported by relays.
-    Far,
+    RemoteZone,
 }
 
 /// When the store last answered, by host.
@@ -74,9 +74,9 @@
 impl AnsweredAt {
     fn instant_mut(&mut self, host: AnsweredHost) -> &mut Option<Instant> {
         match host {
-            AnsweredHost::Own => &mut self.local,
-            AnsweredHost::Near => &mut self.same_zone,
-            AnsweredHost::Far => &mut self.remote_zone,
+            AnsweredHost::Local => &mut self.local,
+            AnsweredHost::SameZone => &mut self.same_zone,
+            AnsweredHost::RemoteZone => &mut self.remote_zone,
         }
     }
 
@@ -90,20 +90,20 @@
 
 /// Why a topic is read now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Due {
+pub(crate) enum ReadReason {
     /// This host is a subscriber.
-    Turn,
+    Subscriber,
     /// Peers know more than this host: a full read is needed.
-    Again,
+    Reread,
     /// No host was answered within the staleness timeout.
-    Doubt,
+    StaleView,
 }
 
 /// This host's subscription to the store.
 #[derive(Debug)]
 pub(crate) struct StoreSubscription {
     /// Whether this host is a subscriber.
-    has_turn: watch::Sender<bool>,
+    is_subscriber: watch::Sender<bool>,
     /// Whether this host would be a subscriber if there were none yet.
     is_preferred: watch::Sender<bool>,
     /// Whether the configured seeds were queried for their full state.
@@ -132,7 +132,7 @@
             started: Instant::now(),
         };
         Self {
-            has_turn: watch::channel(true).0,
+            is_subscriber: watch::channel(true).0,
             is_preferred: watch::channel(false).0,
             are_seeds_queried: watch::channel(false).0,
             answered_at: watch::channel(answered_at).0,
@@ -157,40 +157,40 @@
     }
 
     /// Sets whether this host is a subscriber. Returns whether that changed.
-    pub(crate) fn set_turn(&self, has_turn: bool) -> bool {
-        self.has_turn.send_if_modified(|current| {
-            let has_changed = *current != has_turn;
-            *current = has_turn;
+    pub(crate) fn set_subscriber(&self, is_subscriber: bool) -> bool {
+        self.is_subscriber.send_if_modified(|current| {
+            let has_changed = *current != is_subscriber;
+            *current = is_subscriber;
             has_changed
         })
     }
 
     /// Sets whether this host would be a subscriber if there were none yet.
-    pub(crate) fn set_first_choice(&self, is_preferred: bool) {
+    pub(crate) fn set_preferred(&self, is_preferred: bool) {
         self.is_preferred.send_replace(is_preferred);
     }
 
     /// Waits until this host would be a subscriber if there were none yet.
-    pub(crate) async fn first_choice(&self) {
+    pub(crate) async fn wait_until_preferred(&self) {
         let mut is_preferred = self.is_preferred.subscribe();
         let _never_closed = is_preferred.wait_for(|is_preferred| *is_preferred).await;
     }
 
     /// Records that the configured seeds were queried.
-    pub(crate) fn seeds_asked(&self) {
+    pub(crate) fn mark_seeds_queried(&self) {
         self.are_seeds_queried.send_replace(true);
     }
 
     /// Waits until the configured seeds were queried.
-    pub(crate) async fn after_seeds_asked(&self) {
+    pub(crate) async fn wait_until_seeds_queried(&self) {
         let mut are_queried = self.are_seeds_queried.subscribe();
         let _never_closed = are_queried.wait_for(|are_queried| *are_queried).await;
     }
 
     /// Waits until this host is a subscriber.
-    pub(crate) async fn turn(&self) {
-        let mut has_turn = self.has_turn.subscribe();
-        let _never_closed = has_turn.wait_for(|has_turn| *has_turn).await;
+    pub(crate) async fn wait_until_subscriber(&self) {
+        let mut is_subscriber = self.is_subscriber.subscribe();
+        let _never_closed = is_subscriber.wait_for(|is_subscriber| *is_subscriber).await;
     }
 
     /// Waits until a topic should be read.
@@ -207,28 +207,28 @@
     }
 
     /// Waits until a full read of the topic is requested.
-    pub(crate) async fn again(&self, topic: Topic) {
+    pub(crate) async fn wait_for_reread(&self, topic: Topic) {
         self.topic(topic).reread.notified().await;
     }
 
     /// Requests a full read of both topics.
-    pub(crate) fn read_again(&self) {
+    pub(crate) fn request_reread(&self) {
         self.rules.reread.notify_one();
         self.endpoints.reread.notify_one();
     }
 
-    pub(crate) fn answered(&self, topic: Topic) {
+    pub(crate) fn record_answer(&self, topic: Topic) {
         self.topic(topic).is_answered.store(true, Ordering::Relaxed);
     }
 
-    pub(crate) fn not_answered(&self, topic: Topic) {
+    pub(crate) fn record_failure(&self, topic: Topic) {
         self.topic(topic)
             .is_answered
             .store(false, Ordering::Relaxed);
     }
 
     /// Records a suspension of this host, `uncounted` of which the runtime's clock missed.
-    pub(crate) fn stood_still(&self, duration: Duration, uncounted: Duration) {
+    pub(crate) fn record_suspension(&self, duration: Duration, uncounted: Duration) {
         self.age(uncounted);
         let mut suspensions = self.suspensions();
         suspensions.age(uncounted);
@@ -249,20 +249,20 @@
         });
     }
 
-    /// Time since the store last answered, as reported to peers; `Near` includes this host.
+    /// Time since the store last answered, as reported to peers; `SameZone` includes this host.
     pub(crate) fn answered_ago_ms(&self, host: AnsweredHost) -> Option<u32> {
         let answered_at = *self.answered_at.borrow();
         let at = match host {
-            AnsweredHost::Own => answered_at.local,
-            AnsweredHost::Near => answered_at.local.max(answered_at.same_zone),
-            AnsweredHost::Far => answered_at.remote_zone,
+            AnsweredHost::Local => answered_at.local,
+            AnsweredHost::SameZone => answered_at.local.max(answered_at.same_zone),
+            AnsweredHost::RemoteZone => answered_at.remote_zone,
         };
         u32::try_from(at?.elapsed().as_millis()).ok()
     }
 
     /// Records an answer `ago_ms` ago. Returns the gap since the previous answer to any
     /// host, excluding this host's suspensions; zero if the answer is not newer.
-    pub(crate) fn was_answered(&self, host: AnsweredHost, ago_ms: Option<u32>) -> Duration {
+    pub(crate) fn record_peer_answer(&self, host: AnsweredHost, ago_ms: Option<u32>) -> Duration {
         let ago = ago_ms.map(|ago_ms| ms(u64::from(ago_ms)));
         let Some(at) = ago.and_then(|ago| Instant::now().checked_sub(ago)) else {
             return Duration::ZERO;
@@ -283,8 +283,8 @@
 
     /// Whether a relay should report an answer at once, because after such a gap other
     /// zones are about to poll.
-    pub(crate) fn should_relay_answer(&self, gap: Duration, times: &FollowTimes) -> bool {
-        self.is_relay() && gap >= ms(times.stale_after_ms / 2)
+    pub(crate) fn should_relay_answer(&self, gap: Duration, times: &SubscriptionTimings) -> bool {
+        self.is_relay() && gap >= ms(times.staleness_timeout_ms / 2)
     }
 
     /// Whether this host sends aggregates to other zones.
@@ -298,7 +298,7 @@
     }
 
     /// Waits until the store has answered any host after an instant.
-    pub(crate) async fn answered_after(&self, since: Instant) {
+    pub(crate) async fn wait_answered_after(&self, since: Instant) {
         let mut answered_at = self.answered_at.subscribe();
         let is_newer = |answered_at: &AnsweredAt| answered_at.latest() > since;
         let _never_closed = answered_at.wait_for(is_newer).await;
@@ -323,34 +323,34 @@
         self.is_standby.store(is_standby, Ordering::Relaxed);
     }
 
-    pub(crate) fn sharing(&self) -> usize {
+    pub(crate) fn subscriber_count(&self) -> usize {
         self.subscriber_count.load(Ordering::Relaxed)
     }
 
     /// Whether this host polls while the view is stale; in a large fleet only a random
     /// fraction does.
-    fn asks_in_doubt(&self) -> bool {
+    fn polls_while_stale(&self) -> bool {
         let host_count = self.host_count.load(Ordering::Relaxed);
-        self.has_turn() || rand::random::<f64>() < doubting_part(host_count)
+        self.is_subscriber() || rand::random::<f64>() < stale_poll_fraction(host_count)
     }
 
     /// Waits until the store has answered no host for so long that this one should poll it,
     /// on both topics, since a wait for one topic may be lost. The first answer ends the
     /// wait on all hosts. Hosts that are not selected draw again periodically.
-    pub(crate) async fn stale(&self, times: &FollowTimes) {
+    pub(crate) async fn wait_until_stale(&self, times: &SubscriptionTimings) {
         // Subscribers poll first, which mostly spares the others.
-        let half_ms = times.stale_spread_ms / 2;
-        let min_delay_ms = if self.has_turn() { 0 } else { half_ms };
+        let half_ms = times.staleness_jitter_ms / 2;
+        let min_delay_ms = if self.is_subscriber() { 0 } else { half_ms };
         let delay_ms = min_delay_ms + rand::rng().random_range(0..=half_ms);
-        let staleness_timeout = ms(times.stale_after_ms + delay_ms);
-        let redraw_interval = ms(times.stale_spread_ms.max(1));
+        let staleness_timeout = ms(times.staleness_timeout_ms + delay_ms);
+        let redraw_interval = ms(times.staleness_jitter_ms.max(1));
         let mut drawn_at = None;
         let mut stale_polls = self.stale_polls.subscribe();
         loop {
             let stale_at = self.answered_at.borrow().latest() + staleness_timeout;
             let due_at = stale_at.max(drawn_at.map_or(stale_at, |at| at + redraw_interval));
             if Instant::now() >= due_at {
-                if self.asks_in_doubt() {
+                if self.polls_while_stale() {
                     self.stale_polls.send_modify(|polls| *polls += 1);
                     return;
                 }
@@ -378,7 +378,7 @@
     }
 
     /// Whether this host is a subscriber.
-    pub(crate) fn has_turn(&self) -> bool {
-        *self.has_turn.borrow()
+    pub(crate) fn is_subscriber(&self) -> bool {
+        *self.is_subscriber.borrow()
     }
 }
