--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -99,7 +99,7 @@
             return false;
         }
         let may_send = if choice.is_cold {
-            now_ms.saturating_sub(choice.chosen_at_ms) <= MAX_COLD_SEND_DELAY_MS
+            now_ms.saturating_sub(choice.selected_at_ms) <= MAX_COLD_SEND_DELAY_MS
         } else {
             self.may_send_if_cold(member, now_ms)
         };
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -32,7 +32,7 @@
     (sustained_per_s > 0.0).then(|| (sustained_per_s * service_ms / SECOND_MS).ceil() as u32)
 }
 
-/// The endpoint that a request needs.
+/// Placement criteria of a request.
 #[derive(Debug)]
 pub(crate) struct EndpointQuery<'a> {
     pub(crate) pool: &'a PoolId,
@@ -61,7 +61,7 @@
     pub(crate) holds_prefix: bool,
     /// Whether it is cold and the request counts against this host's share of its rate.
     pub(crate) is_cold: bool,
-    chosen_at_ms: u64,
+    selected_at_ms: u64,
 }
 
 /// The fleet as one host knows it.
@@ -201,7 +201,7 @@
             basis: placement.basis,
             holds_prefix: candidate.holds_prefix,
             is_cold,
-            chosen_at_ms: now_ms,
+            selected_at_ms: now_ms,
         })
     }
 
@@ -232,9 +232,9 @@
     ) -> Option<SocketAddr> {
         let live = self.endpoints.live(query.pool);
         let evacuated = self.evacuated_copy_sources(query.pool, now_ms);
-        let leaving_members = self.endpoints.leaving_members(query.pool);
+        let leaving = self.endpoints.leaving_members(query.pool);
         let find_address = |endpoint: u32| {
-            let mut members = live.iter().chain(leaving_members.iter()).chain(&evacuated);
+            let mut members = live.iter().chain(leaving.iter()).chain(&evacuated);
             let member = members.find(|member| member.hash.short() == endpoint)?;
             let is_sound = !self.is_suspect(endpoint, now_ms);
             is_sound.then_some(member.endpoint.address)
@@ -255,7 +255,7 @@
         // No holder is known, as after a restart: use the endpoint that ranks first for the
         // prefix without the chosen one.
         let deepest = KeyHash(u64::from(*query.shared_parts.last()?));
-        let others = live.iter().chain(leaving_members.iter()).chain(&evacuated);
+        let others = live.iter().chain(leaving.iter()).chain(&evacuated);
         let others = others.filter(|member| member.hash != chosen.hash);
         let first = others.max_by(|a, b| {
             let rank = |member: &PoolMember| score(deepest, member.hash, 1.0);
@@ -370,7 +370,6 @@
         max_ms
     }
 
-    /// Records how long a request of a route occupied an endpoint.
     pub(crate) fn record_service_time(
         &mut self,
         pool: &PoolId,
@@ -459,7 +458,6 @@
         has_changed
     }
 
-    /// The listed endpoints, to send to another host.
     pub(crate) fn listed(&self, now_ms: u64) -> Vec<ListedEndpoint> {
         let listed = self.endpoints.listed().map(|member| ListedEndpoint {
             endpoint: (*member.endpoint).clone(),
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -27,8 +27,8 @@
     /// From a relay to the hosts of its large zone, which do not receive each other's
     /// heartbeats.
     RelaySummary(RelaySummary),
-    /// From a relay to the hosts of its large zone: the fleet aggregate. An `Option` with
-    /// the ID of the recipient's own report that the aggregate includes follows it.
+    /// From a relay to the hosts of its large zone: the fleet aggregate. An
+    /// `Option<ReportId>` follows it: the recipient's report that the aggregate includes.
     FleetSum(ZoneAggregate),
     /// Rollout orders and progress.
     Rollouts(RolloutUpdate),
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -193,7 +193,6 @@
     busy.rules > shared.rules.version() || busy.endpoints > shared.fleet().endpoints_version
 }
 
-/// A random alternative to a busy host.
 fn pick_alternative(busy: &BusyResponse, peers: &PeerTable) -> Option<SocketAddr> {
     let others = busy.ask.iter().filter(|address| **address != peers.local);
     others.choose(&mut rand::rng()).copied()
@@ -313,7 +312,6 @@
     missing.busy
 }
 
-/// Sets the builds of endpoints where they are known.
 fn with_builds(mut update: EndpointUpdate, builds: &KnownBuilds) -> EndpointUpdate {
     let others: HashMap<u32, &BuildVersion> = builds
         .others
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -44,7 +44,7 @@
         match datagram {
             Datagram::Heartbeat(heartbeat) => merge_heartbeat(&shared, &peers, address, heartbeat),
             Datagram::ZoneSummary(summary) => merge_zone_summary(&shared, &peers, address, summary),
-            Datagram::FarSum(sum) => merge_remote_aggregate(&shared, &peers, address, sum),
+            Datagram::FarSum(sum) => merge_remote_zone(&shared, &peers, address, sum),
             Datagram::CacheEntries(entries) => merge_cache_entries(&shared, &peers, &entries),
             Datagram::Poison(update) => shared.merge_poison_updates(&update, peers.is_relay()),
             Datagram::RelaySummary(summary) => {
@@ -75,8 +75,8 @@
     if !peers.aggregates() {
         // Relays receive these reports directly; taking them from each other would keep
         // outdated ones alive.
-        merge_store_answer(shared, AnsweredHost::SameZone, summary.answered_ago_ms);
-        merge_store_answer(
+        merge_answer(shared, AnsweredHost::SameZone, summary.answered_ago_ms);
+        merge_answer(
             shared,
             AnsweredHost::RemoteZone,
             summary.far_answered_ago_ms,
@@ -85,7 +85,7 @@
     merge_digest(shared, peers, relay, summary.zone, &summary.knowledge);
 }
 
-/// Merges a fleet aggregate from a relay of this zone; `rest` encodes the ID of this host's
+/// Merges a fleet aggregate from a relay of this zone; `remaining` encodes the ID of this host's
 /// own report that it includes, if any.
 fn merge_fleet_aggregate(
     shared: &Shared,
@@ -118,8 +118,8 @@
         .iter()
         .map(|host| (host.address, Some(host.zone)));
     peers.add(named);
-    merge_store_answer(shared, AnsweredHost::SameZone, heartbeat.answered_ago_ms);
-    merge_store_answer(
+    merge_answer(shared, AnsweredHost::SameZone, heartbeat.answered_ago_ms);
+    merge_answer(
         shared,
         AnsweredHost::RemoteZone,
         heartbeat.far_answered_ago_ms,
@@ -139,26 +139,26 @@
     shared: &Shared,
     peers: &PeerTable,
     address: SocketAddr,
-    heartbeat: ZoneSummary,
+    summary: ZoneSummary,
 ) {
-    let zone = heartbeat.sum.zone;
+    let zone = summary.sum.zone;
     if zone == peers.zone {
         return;
     }
     peers.record_zone_relay(address, zone);
-    merge_store_answer(shared, AnsweredHost::RemoteZone, heartbeat.answered_ago_ms);
+    merge_answer(shared, AnsweredHost::RemoteZone, summary.answered_ago_ms);
     let now_ms = shared.clock.now_ms();
     let mut fleet = shared.fleet();
-    let sum: ZoneAggregate = heartbeat.sum;
+    let sum: ZoneAggregate = summary.sum;
     fleet
         .load
         .merge_zone_aggregate(address, sum, AggregatePath::Direct, now_ms);
     drop(fleet);
-    merge_digest(shared, peers, address, zone, &heartbeat.knowledge);
+    merge_digest(shared, peers, address, zone, &summary.knowledge);
 }
 
 /// Merges a report of the store's last answer.
-fn merge_store_answer(shared: &Shared, host: AnsweredHost, ago_ms: Option<u32>) {
+fn merge_answer(shared: &Shared, host: AnsweredHost, ago_ms: Option<u32>) {
     let gap = shared.record_any_store_answer(host, ago_ms);
     if shared
         .subscription
@@ -168,12 +168,7 @@
     }
 }
 
-fn merge_remote_aggregate(
-    shared: &Shared,
-    peers: &PeerTable,
-    relay: SocketAddr,
-    sum: ZoneAggregate,
-) {
+fn merge_remote_zone(shared: &Shared, peers: &PeerTable, relay: SocketAddr, sum: ZoneAggregate) {
     if sum.zone == peers.zone {
         return;
     }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -28,8 +28,6 @@
 const FEW_HOSTS_DIVISOR: usize = 2;
 /// Responses with at most this many entries, about 16 KB, need no transfer slot.
 const MAX_UNLIMITED_ENTRIES: usize = 256;
-
-/// Poison requests in a response, 14 KB at most.
 const MAX_POISON_REQUESTS: usize = 1_024;
 
 pub(crate) async fn serve_pulls(shared: Arc<Shared>, peers: Arc<PeerTable>, listener: TcpListener) {
@@ -147,7 +145,6 @@
     }
 }
 
-/// The endpoint list entries that a host at a version is missing.
 fn endpoint_update(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointUpdate> {
     if !shared.knows_endpoints() {
         return None;
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -41,16 +41,11 @@
 
     /// Merges entries from a host of the same zone and queues them for other zones; a relay
     /// of a large zone also queues them for its own.
-    pub(crate) fn merge_same_zone(
-        &mut self,
-        entries: &[CacheEntry],
-        aggregates: bool,
-        now_ms: u64,
-    ) {
+    pub(crate) fn merge_same_zone(&mut self, entries: &[CacheEntry], relays: bool, now_ms: u64) {
         for entry in entries {
             if self.directory.merge(*entry, now_ms) {
                 self.pending.remote_zones.push(*entry);
-                if aggregates {
+                if relays {
                     self.pending.same_zone.push(*entry);
                 }
             }
