--- a/crates/gateway/src/active_rules.rs
+++ b/crates/gateway/src/active_rules.rs
@@ -1,4 +1,4 @@
-//! The rules in force, and what led to them.
+//! The active rules and their recent changes.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,17 +6,16 @@
 use chalkrock_routing::{Rules, RulesChange, RulesDocument, RulesHistory, RulesVersion};
 use serde::{Deserialize, Serialize};
 
-/// Rules as one host passes them on to another.
+/// Rules that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum RulesUpdate {
-    /// The whole document.
     Entire(Arc<RulesDocument>),
-    /// What changed since the version that the other host has, oldest first.
+    /// Changes since the recipient's version, oldest first.
     Changes(Vec<Arc<RulesChange>>),
 }
 
 impl RulesUpdate {
-    /// Routes and organisations that it names.
+    /// Number of routes and organisations in the update.
     pub(crate) fn entries(&self) -> usize {
         match self {
             Self::Entire(document) => document.entry_count(),
@@ -25,38 +24,38 @@
     }
 }
 
-/// The rules in force; their version only rises.
+/// The active rules; their version never decreases.
 #[derive(Default)]
 pub(crate) struct ActiveRules {
     current: ArcSwapOption<Rules>,
-    /// Locked while rules come into force, so that none is missing in it.
+    /// Locked while rules are activated, so that no change is lost.
     history: Mutex<RulesHistory>,
 }
 
 impl ActiveRules {
-    /// The rules in force, if any are known.
     pub(crate) fn current(&self) -> Option<Arc<Rules>> {
         self.current.load_full()
     }
 
-    /// The version in force; the first possible one if none is known.
+    /// The active version; the default if no rules are known.
     pub(crate) fn version(&self) -> RulesVersion {
         let current = self.current();
         current.map(|rules| rules.version()).unwrap_or_default()
     }
 
-    /// Puts a document into force if it is newer. Returns whether it is.
+    /// Activates a document if it is newer. Returns whether it is.
     pub(crate) fn replace(&self, mut document: RulesDocument) -> bool {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = self.current();
-        if known
+        let current = self.current();
+        if current
             .as_ref()
-            .is_some_and(|known| known.version() >= document.version)
+            .is_some_and(|current| current.version() >= document.version)
         {
             return false;
         }
         document.sort();
-        let change = known.and_then(|known| RulesChange::between(known.document(), &document));
+        let change =
+            current.and_then(|current| RulesChange::between(current.document(), &document));
         match change {
             Some(change) => history.push(Arc::new(change), document.entry_count()),
             None => history.clear(),
@@ -65,25 +64,25 @@
         true
     }
 
-    /// Puts into force what another host passed on, if it is newer. Returns
-    /// whether it is; changes of another version than the one in force are not.
-    pub(crate) fn apply_update(&self, news: RulesUpdate) -> bool {
-        let changes = match news {
+    /// Activates an update from a peer if it is newer and its changes apply to the active
+    /// version. Returns whether it was activated.
+    pub(crate) fn apply_update(&self, update: RulesUpdate) -> bool {
+        let changes = match update {
             RulesUpdate::Entire(document) => return self.replace(Arc::unwrap_or_clone(document)),
             RulesUpdate::Changes(changes) => changes,
         };
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(known) = self.current() else {
+        let Some(current) = self.current() else {
             return false;
         };
-        let mut document = RulesDocument::clone(known.document());
+        let mut document = RulesDocument::clone(current.document());
         for change in &changes {
             match change.apply(&document) {
                 Some(changed) => document = changed,
                 None => return false,
             }
         }
-        if document.version <= known.version() {
+        if document.version <= current.version() {
             return false;
         }
         for change in changes {
@@ -93,8 +92,8 @@
         true
     }
 
-    /// What a host is missing that has a version, if anything: the changes
-    /// since, or the document where these are not known.
+    /// The update that a host at a version needs, if any: the changes since, or the full
+    /// document if they are not retained.
     pub(crate) fn update_since(&self, version: RulesVersion) -> Option<RulesUpdate> {
         let current = self.current().filter(|rules| rules.version() > version)?;
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/gateway/src/fleet/builds.rs
+++ b/crates/gateway/src/fleet/builds.rs
@@ -1,4 +1,4 @@
-//! Which builds of a pool requests go to, while it moves from one to another.
+//! Selects endpoints by build while a pool is rolled out.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,50 +9,52 @@
 use crate::fleet::Fleet;
 use crate::peers::KnownBuilds;
 
-/// The endpoints of a pool that a request may go to by its build.
-pub(super) struct OpenBuilds<'a> {
+pub(super) struct EligibleBuilds<'a> {
     filter: BuildFilter<'a>,
-    /// Those of a new build that are tried; `None` if all that pass the filter may be
-    /// used.
+    /// The canaries; `None` if every endpoint that passes the filter is eligible.
     canaries: Option<Vec<MemberHash>>,
 }
 
-impl OpenBuilds<'_> {
+impl EligibleBuilds<'_> {
     pub(super) fn admit(&self, member: &PoolMember) -> bool {
         let canaries = self.canaries.as_ref();
-        let is_tried = canaries.is_none_or(|tried| tried.contains(&member.hash));
-        is_tried && self.filter.admits(&member.endpoint.build)
+        let is_admitted = canaries.is_none_or(|canaries| canaries.contains(&member.hash));
+        is_admitted && self.filter.admits(&member.endpoint.build)
     }
 }
 
 impl Fleet {
-    /// The endpoints of a pool that may be used in one way.
-    pub(super) fn open_builds(&self, pool: &PoolId, by: BuildUse, now_ms: u64) -> OpenBuilds<'_> {
-        let filter = self.rollouts.filter(pool, by, now_ms);
-        let canaries = (by == BuildUse::Canary).then(|| {
+    pub(super) fn eligible_builds(
+        &self,
+        pool: &PoolId,
+        build_use: BuildUse,
+        now_ms: u64,
+    ) -> EligibleBuilds<'_> {
+        let filter = self.rollouts.filter(pool, build_use, now_ms);
+        let canaries = (build_use == BuildUse::Canary).then(|| {
             let members = self.endpoints.live(pool);
             let is_new = |member: &&PoolMember| filter.admits(&member.endpoint.build);
             let new = members.iter().filter(is_new).map(|member| member.hash);
             let old = members.iter().filter(|member| !is_new(member)).count();
             self.rollouts.canaries(pool, new, old)
         });
-        OpenBuilds { filter, canaries }
+        EligibleBuilds { filter, canaries }
     }
 
-    /// Of a pool's members those of the builds that most requests try first.
+    /// The members of a pool whose build most requests use first.
     pub(super) fn with_stable_builds<'a>(
         &'a self,
         pool: &PoolId,
         members: &'a [PoolMember],
         now_ms: u64,
     ) -> impl Iterator<Item = &'a PoolMember> {
-        let usual = self.rollouts.stable_use(pool);
-        let builds = self.rollouts.filter(pool, usual, now_ms);
+        let stable_use = self.rollouts.stable_use(pool);
+        let builds = self.rollouts.filter(pool, stable_use, now_ms);
         let members = members.iter();
         members.filter(move |member| builds.admits(&member.endpoint.build))
     }
 
-    /// The endpoints of a pool by the builds of its rollout.
+    /// Slots and load of a pool, by the builds of its rollout.
     pub(crate) fn pool_builds(&self, pool: &PoolId) -> PoolBuilds {
         let Some((_, order)) = self.rollouts.order(pool) else {
             return PoolBuilds::default();
@@ -66,8 +68,8 @@
                 builds.old_slots += slots;
             }
         }
-        let of_pool = self.endpoints.known_members();
-        for member in of_pool.filter(|member| member.endpoint.pool == *pool) {
+        let known = self.endpoints.known_members();
+        for member in known.filter(|member| member.endpoint.pool == *pool) {
             let in_progress = self.load.in_progress(member.hash.short());
             if member.endpoint.build == order.build {
                 builds.new_in_progress += in_progress;
@@ -78,17 +80,16 @@
         builds
     }
 
-    /// The builds that a pool's endpoints run, but for the one that it moves to.
     pub(crate) fn builds_from(&self, pool: &PoolId, to: &BuildVersion) -> BTreeSet<BuildVersion> {
         let live = self.endpoints.live(pool);
         let builds = live.iter().map(|member| member.endpoint.build.clone());
         builds.filter(|build| build != to).collect()
     }
 
-    /// The software that endpoints run, to pass on.
+    /// The builds of all endpoints, to send to another host.
     pub(crate) fn known_builds(&self) -> KnownBuilds {
         if let Some(usual) = self.rollouts.stable_builds() {
-            // Nothing has to be looked up for each of thousands of endpoints.
+            // Avoids a lookup for each endpoint.
             return KnownBuilds {
                 usual,
                 others: Vec::new(),
@@ -101,10 +102,10 @@
             if !endpoint.build.is_known() {
                 continue;
             }
-            let of_pool = usual
+            let usual_build = usual
                 .entry(endpoint.pool.clone())
                 .or_insert_with(|| endpoint.build.clone());
-            if *of_pool != endpoint.build {
+            if *usual_build != endpoint.build {
                 others.push((member.hash.short(), endpoint.build.clone()));
             }
         }
@@ -114,13 +115,12 @@
         }
     }
 
-    /// Takes note of the builds that endpoints run.
-    pub(super) fn note_builds(&mut self, now_ms: u64) {
+    pub(super) fn record_builds(&mut self, now_ms: u64) {
         let mut by_pool: BTreeMap<&PoolId, BTreeSet<&BuildVersion>> = BTreeMap::new();
         for member in self.endpoints.listed() {
             let endpoint = &*member.endpoint;
-            let of_pool = by_pool.entry(&endpoint.pool).or_default();
-            of_pool.insert(&endpoint.build);
+            let pool_builds = by_pool.entry(&endpoint.pool).or_default();
+            pool_builds.insert(&endpoint.build);
         }
         for (pool, builds) in by_pool {
             self.rollouts.record_listed_builds(pool, builds, now_ms);
--- a/crates/gateway/src/fleet/closed.rs
+++ b/crates/gateway/src/fleet/closed.rs
@@ -1,5 +1,4 @@
-//! Endpoints that are sent nothing or little: those of evacuated zones, those that are
-//! cold, and those that asked this host for a while without requests.
+//! Endpoints that receive few or no requests: evacuated, cold or backing off.
 
 use chalkrock_core::{Endpoint, PoolId, ZoneId};
 use chalkrock_routing::{
@@ -9,41 +8,39 @@
 use crate::fleet::{Fleet, SelectedEndpoint};
 use crate::source::ListedEndpoint;
 
-/// Time after which a request that was chosen for a cold endpoint is no longer
-/// sent to it: many that waited for a connection would go out together.
-const COLD_SEND_DELAY_MAX_MS: u64 = 200;
+/// Maximum delay between selection of a cold endpoint and sending; requests that waited for
+/// a connection would otherwise arrive together.
+const MAX_COLD_SEND_DELAY_MS: u64 = 200;
 
 impl Fleet {
-    /// Takes what endpoints bear while they are cold.
     pub(crate) fn set_pools(&mut self, pools: &[PoolRules]) {
         let by_name = pools.iter().map(|pool| (pool.name.clone(), pool.clone()));
         self.pools = by_name.collect();
     }
 
-    /// Takes the zones that are evacuated, if they are known as of a later
-    /// version.
+    /// Merges evacuations received from a peer.
     pub(crate) fn merge_evacuations(
         &mut self,
         evacuations: &Evacuations,
         now_ms: u64,
     ) -> EvacuationChange {
         let change = self.evacuations.merge(evacuations);
-        self.evacuations_changed(&change, now_ms);
+        self.apply_evacuation_change(&change, now_ms);
         change
     }
 
-    /// Takes the zones that are evacuated as they were read whole.
+    /// Replaces the evacuations after a full read of the store.
     pub(crate) fn replace_evacuations(
         &mut self,
         evacuations: Evacuations,
         now_ms: u64,
     ) -> EvacuationChange {
         let change = self.evacuations.replace(evacuations);
-        self.evacuations_changed(&change, now_ms);
+        self.apply_evacuation_change(&change, now_ms);
         change
     }
 
-    /// Takes the evacuations of a part of the store's history.
+    /// Applies evacuation changes from the store, up to a version.
     pub(crate) fn apply_evacuation_changes(
         &mut self,
         rows: &[EvacuationRow],
@@ -51,11 +48,11 @@
         now_ms: u64,
     ) -> EvacuationChange {
         let change = self.evacuations.apply_changes(rows, until);
-        self.evacuations_changed(&change, now_ms);
+        self.apply_evacuation_change(&change, now_ms);
         change
     }
 
-    fn evacuations_changed(&mut self, change: &EvacuationChange, now_ms: u64) {
+    fn apply_evacuation_change(&mut self, change: &EvacuationChange, now_ms: u64) {
         if change.is_empty() {
             return;
         }
@@ -63,39 +60,38 @@
             .set_evacuated(self.evacuations.zones().clone());
         for zone in &change.begun {
             let until_ms = now_ms + self.evacuation_copy_ms;
-            self.copied_until_ms.insert(zone.clone(), until_ms);
+            self.copy_prefixes_until_ms.insert(zone.clone(), until_ms);
         }
         for zone in &change.ended {
-            self.copied_until_ms.remove(zone);
+            self.copy_prefixes_until_ms.remove(zone);
             self.presume_zone_cold(zone, now_ms);
         }
     }
 
-    /// The endpoints of a zone that was taken back may have turned cold shortly
-    /// before, and their entries tell so late.
+    /// Endpoints of a reopened zone may have turned cold before their entries show it.
     fn presume_zone_cold(&mut self, zone: &ZoneId, now_ms: u64) {
         for member in self.endpoints.serving_in(zone) {
             let Some(pool) = self.pools.get(&member.endpoint.pool) else {
                 continue;
             };
-            let longest_ms = pool.cold_start_ms.min(self.entry_delay_ms);
+            let max_cold_ms = pool.cold_start_ms.min(self.entry_delay_ms);
             self.cold
-                .presume_cold(member.hash.short(), longest_ms, now_ms);
+                .presume_cold(member.hash.short(), max_cold_ms, now_ms);
         }
     }
 
-    /// Whether so many endpoints are sent nothing or little that the others have
-    /// much more than their part.
-    pub(crate) fn is_crowded(&self, now_ms: u64) -> bool {
-        const CLOSED_PART: f64 = 0.15;
+    /// Whether so many endpoints are closed that the others receive far more than their
+    /// usual share.
+    pub(crate) fn has_many_closed(&self, now_ms: u64) -> bool {
+        const MAX_CLOSED_FRACTION: f64 = 0.15;
         let serving = self.endpoints.serving_count();
         let evacuated = serving - self.endpoints.live_count();
         let closed = evacuated + self.cold.count(now_ms) + self.backoffs.count(now_ms);
-        closed as f64 > CLOSED_PART * serving as f64
+        closed as f64 > MAX_CLOSED_FRACTION * serving as f64
     }
 
-    /// Whether the endpoint of a choice may still be sent the request, which is
-    /// then sent.
+    /// Checks that the selected endpoint still accepts the request and, if so, records the
+    /// send.
     pub(crate) fn may_still_send(&mut self, choice: &SelectedEndpoint, now_ms: u64) -> bool {
         let member = &choice.member;
         let backs_off = self.backoffs.is_active(member.hash.short(), now_ms);
@@ -103,7 +99,7 @@
             return false;
         }
         let may_send = if choice.is_cold {
-            now_ms.saturating_sub(choice.chosen_at_ms) <= COLD_SEND_DELAY_MAX_MS
+            now_ms.saturating_sub(choice.selected_at_ms) <= MAX_COLD_SEND_DELAY_MS
         } else {
             self.may_send_if_cold(member, now_ms)
         };
@@ -113,24 +109,24 @@
         may_send
     }
 
-    /// Whether a pool has an endpoint that may be sent requests now.
+    /// Whether a pool has an endpoint that accepts requests.
     pub(crate) fn accepts_requests(&self, pool: &PoolId, now_ms: u64) -> bool {
         let live = self.endpoints.live(pool);
         let mut starts = live.iter().map(|member| member.hash.short());
         starts.any(|start| !self.backoffs.is_active(start, now_ms))
     }
 
-    /// Time until a pool has an endpoint again that may be sent requests, in
-    /// milliseconds; `None` unless all that it has asked to be sent nothing.
+    /// Time until an endpoint of the pool accepts requests, in milliseconds; `None` unless
+    /// all of them back off.
     pub(crate) fn backoff_remaining_ms(&self, pool: &PoolId, now_ms: u64) -> Option<u64> {
         let live = self.endpoints.live(pool);
         let usable = self.with_stable_builds(pool, &live, now_ms);
-        let left_ms = usable.map(|member| self.backoffs.remaining_ms(member.hash.short(), now_ms));
-        left_ms.min().filter(|left_ms| *left_ms > 0)
+        let remaining_ms =
+            usable.map(|member| self.backoffs.remaining_ms(member.hash.short(), now_ms));
+        remaining_ms.min().filter(|remaining_ms| *remaining_ms > 0)
     }
 
-    /// Whether an endpoint is not cold, or this host's share of what it bears
-    /// allows a request now.
+    /// Whether an endpoint is warm or this host's share of its cold rate allows a request.
     pub(super) fn may_send_if_cold(&self, member: &PoolMember, now_ms: u64) -> bool {
         if !self.is_bounded(member, now_ms) {
             return true;
@@ -141,7 +137,7 @@
             .may_send(member.hash.short(), sustained_per_s, is_same_zone, now_ms)
     }
 
-    /// Whether an endpoint is cold and bears only so many requests meanwhile.
+    /// Whether an endpoint is cold and its request rate is limited.
     pub(super) fn is_bounded(&self, member: &PoolMember, now_ms: u64) -> bool {
         if self.cold.is_empty() {
             return false;
@@ -151,16 +147,15 @@
             .is_bounded(member.hash.short(), sustained_per_s, now_ms)
     }
 
-    /// Requests that a cold endpoint of a pool bears in a second, 0 for any
-    /// number.
+    /// Requests a second that a cold endpoint of a pool sustains; 0 means no limit.
     pub(super) fn cold_per_s(&self, pool: &PoolId) -> f64 {
         self.pools.get(pool).map_or(0.0, PoolRules::cold_per_s)
     }
 
-    /// The endpoints of evacuated zones from which prefixes may still be copied.
-    pub(super) fn copied_while_evacuated(&self, pool: &PoolId, now_ms: u64) -> Vec<PoolMember> {
+    /// Endpoints of evacuated zones from which prefixes may still be copied.
+    pub(super) fn evacuated_copy_sources(&self, pool: &PoolId, now_ms: u64) -> Vec<PoolMember> {
         if self
-            .copied_until_ms
+            .copy_prefixes_until_ms
             .values()
             .all(|until_ms| now_ms >= *until_ms)
         {
@@ -168,13 +163,13 @@
         }
         let serving = self.endpoints.serving(pool);
         let copied = serving.iter().filter(|member| {
-            let until_ms = self.copied_until_ms.get(&member.endpoint.zone);
+            let until_ms = self.copy_prefixes_until_ms.get(&member.endpoint.zone);
             member.is_evacuated && until_ms.is_some_and(|until_ms| now_ms < *until_ms)
         });
         copied.cloned().collect()
     }
 
-    /// Takes what an endpoint's entry says of how long it is cold.
+    /// Records the remaining cold time in an endpoint's entry.
     pub(super) fn record_cold_report(&mut self, listed: &ListedEndpoint, now_ms: u64) {
         let short = listed.endpoint.start_hash().short();
         if self.cold.record_report(short, listed.cold_left_ms, now_ms) {
@@ -182,7 +177,7 @@
         }
     }
 
-    /// The endpoints that have been found to be cold since this was last asked.
+    /// Returns and clears the endpoints newly found cold.
     pub(crate) fn take_newly_cold(&mut self) -> Vec<Endpoint> {
         std::mem::take(&mut self.newly_cold)
     }
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -1,5 +1,4 @@
-//! Sends the other hosts what they need to know of this one and, from a relay,
-//! of its zone.
+//! Sends this host's state and, from a relay, aggregates to other hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,68 +18,57 @@
 use crate::shared::Shared;
 use crate::subscription::AnsweredHost;
 
-/// How often a host sends a round.
 const ROUND_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS);
-/// How often while many endpoints are evacuated or cold. The others then get more
-/// requests than the pool's mean, and more that no report tells of yet. On a quiet
-/// day with one zone evacuated and one cold, 108 of 2,648 requests in five seconds
-/// went over the operators' bound on load with 200 ms, under 80 with 100 ms, and
-/// fewer homes were left: worth 0.750 and 0.754 (routing's test of decisions:
-/// 14.4 and 5.8 % go over it where half of the endpoints are closed).
-const CROWDED_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS / 2);
-/// Prefixes that a datagram names: about 1 KB.
+/// Interval while many endpoints are closed: the open ones then receive more requests
+/// between two reports.
+const FAST_ROUND_INTERVAL: Duration = Duration::from_millis(REPORT_INTERVAL_MS / 2);
+/// Cache entries in a datagram of about 1 KB.
 const ENTRIES_PER_DATAGRAM: usize = 96;
-/// Endpoints whose requests a datagram counts: about 1 KB.
+/// Endpoint load counts in a datagram of about 1 KB.
 const COUNTS_PER_DATAGRAM: usize = 128;
-/// Endpoints that are leaving in one datagram, of 5 bytes each; the others follow in the
-/// next rounds. What does not fit into one packet is lost with any part of it: 300 that
-/// leave made each heartbeat larger than 1,500 bytes.
+/// Keeps a heartbeat within one packet; the rest follows in later rounds.
 const LEAVING_PER_DATAGRAM: usize = 64;
-/// Requests that are sent no further in one datagram, of 14 bytes each; those that
-/// came again last go first. The others are told once when they are found, and to
-/// whoever asks for all.
+/// Poison requests in each heartbeat, 14 bytes each, most recently repeated first. Others
+/// are sent once when found, and on request.
 const POISON_PER_DATAGRAM: usize = 16;
-/// What is told in a round of requests under which endpoints ended: 16 bytes each.
-const POISON_NEWS_PER_DATAGRAM: usize = 60;
-/// Datagrams of prefixes in a round.
-const ENTRY_DATAGRAMS: usize = 3;
-/// Datagrams of a relay's sum in one interval; a larger sum is sent less often.
-const SUM_DATAGRAMS_PER_ROUND: usize = 4;
-/// Most intervals between two sums: what a host hears less often would be too
-/// old to go by before a lost one is replaced.
-const ROUNDS_A_SUM_MAX: u64 = 3;
+const POISON_UPDATES_PER_ROUND: usize = 60;
+const ENTRY_DATAGRAMS_PER_ROUND: usize = 3;
+/// Datagrams of an aggregate in a round; a larger aggregate is sent less often.
+const AGGREGATE_DATAGRAMS_PER_ROUND: usize = 4;
+/// Bounds the age of an aggregate after a lost datagram.
+const MAX_ROUNDS_PER_AGGREGATE: u64 = 3;
 
-/// Sends rounds of datagrams until the process ends, one more whenever there is
-/// news.
+/// Sends rounds of datagrams until the process ends, and an extra one for each urgent
+/// update.
 pub(crate) async fn publish(shared: Arc<Shared>, peers: Arc<PeerTable>, socket: Arc<UdpSocket>) {
     let mut ticks = tokio::time::interval(ROUND_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut sequence = 0;
     let mut number = 0;
-    let mut rounds_a_sum = 1;
+    let mut rounds_per_aggregate = 1;
     let mut from_relays = false;
-    let mut is_crowded = false;
+    let mut has_many_closed = false;
     loop {
-        let is_news = tokio::select! {
+        let is_urgent = tokio::select! {
             _ = ticks.tick() => false,
             () = shared.publish_now.notified() => true,
-            () = tokio::time::sleep(CROWDED_INTERVAL), if is_crowded => true,
+            () = tokio::time::sleep(FAST_ROUND_INTERVAL), if has_many_closed => true,
         };
-        is_crowded = shared.fleet().is_crowded(shared.clock.now_ms());
+        has_many_closed = shared.fleet().has_many_closed(shared.clock.now_ms());
         sequence += 1;
-        number += u64::from(!is_news);
-        let input = round_input(&shared, number, is_news, rounds_a_sum);
+        number += u64::from(!is_urgent);
+        let input = round_input(&shared, number, is_urgent, rounds_per_aggregate);
         if input.uses_fleet_aggregate != from_relays {
             from_relays = input.uses_fleet_aggregate;
             shared.event_log.emit(&Event::LoadSource {
                 from_relays,
-                hosts: input.hosts_known,
+                hosts: input.known_host_count,
             });
         }
         let round = peers.round(&input);
         apply_round(&shared, &peers, &round);
-        let datagrams = datagrams_of(&shared, &peers, sequence, &round);
-        rounds_a_sum = rounds_for(datagrams.sums.len());
+        let datagrams = build_datagrams(&shared, &peers, sequence, &round);
+        rounds_per_aggregate = rounds_for(datagrams.aggregate_chunks.len());
         send_round(&shared, &socket, &datagrams, &round);
     }
 }
@@ -92,43 +80,49 @@
     round: &GossipRound,
 ) {
     let to_hosts = [
-        (&datagrams.near, &round.due),
-        (&datagrams.far, &round.far),
-        (&datagrams.to_zone, &round.sum_to),
+        (&datagrams.to_peers, &round.heartbeat_recipients),
+        (&datagrams.to_relays, &round.remote_relays),
+        (&datagrams.to_zone, &round.aggregate_recipients),
     ];
     for (datagrams, to) in to_hosts {
         for datagram in datagrams {
             send(shared, socket, datagram, to);
         }
     }
-    for datagram in &datagrams.sums {
-        send_sum(shared, socket, datagram, &round.sum_to);
+    for datagram in &datagrams.aggregate_chunks {
+        send_aggregate(shared, socket, datagram, &round.aggregate_recipients);
     }
-    let of_hosts = to_hosts
+    let sent_by_kind = to_hosts
         .iter()
         .map(|(datagrams, to)| datagrams.len() * to.len());
-    let sent = of_hosts.sum::<usize>() + datagrams.sums.len() * round.sum_to.len();
+    let sent = sent_by_kind.sum::<usize>()
+        + datagrams.aggregate_chunks.len() * round.aggregate_recipients.len();
     shared
         .metrics
         .count("peer_datagrams_sent_total", "", sent as u64);
 }
 
-fn round_input(shared: &Shared, number: u64, is_news: bool, rounds_a_sum: u64) -> RoundInput {
+fn round_input(
+    shared: &Shared,
+    number: u64,
+    is_urgent: bool,
+    rounds_per_aggregate: u64,
+) -> RoundInput {
     let fleet = shared.fleet();
     RoundInput {
         number,
-        is_news,
-        rounds_a_sum,
-        reading: shared.subscription.role(),
-        hosts_known: fleet.load.known_host_count(),
+        is_urgent,
+        rounds_per_aggregate,
+        role: shared.subscription.role(),
+        known_host_count: fleet.load.known_host_count(),
         uses_fleet_aggregate: fleet.load.uses_fleet_aggregate(),
     }
 }
 
-/// In how many rounds a sum of so many datagrams is sent once.
+/// Rounds between two sends of an aggregate of so many datagrams.
 fn rounds_for(datagrams: usize) -> u64 {
-    let rounds = datagrams.div_ceil(SUM_DATAGRAMS_PER_ROUND).max(1) as u64;
-    rounds.min(ROUNDS_A_SUM_MAX)
+    let rounds = datagrams.div_ceil(AGGREGATE_DATAGRAMS_PER_ROUND).max(1) as u64;
+    rounds.min(MAX_ROUNDS_PER_AGGREGATE)
 }
 
 fn send(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
@@ -141,40 +135,41 @@
     }
 }
 
-/// Sends a part of the fleet's sum, and behind it to each host the report of
-/// its own that the sum includes.
-fn send_sum(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
+/// Sends a chunk of the fleet aggregate, followed by the ID of the recipient's own report
+/// that it includes.
+fn send_aggregate(shared: &Shared, socket: &UdpSocket, datagram: &Datagram, to: &[SocketAddr]) {
     let Ok(mut bytes) = postcard::to_stdvec(datagram) else {
         return;
     };
-    let part_length = bytes.len();
+    let chunk_bytes = bytes.len();
     for address in to {
-        let includes = shared.fleet().load.included_report(address);
-        bytes.truncate(part_length);
-        let Ok(included) = postcard::to_stdvec(&includes) else {
+        let included_report = shared.fleet().load.included_report(address);
+        bytes.truncate(chunk_bytes);
+        let Ok(encoded_report) = postcard::to_stdvec(&included_report) else {
             continue;
         };
-        bytes.extend_from_slice(&included);
+        bytes.extend_from_slice(&encoded_report);
         let _lost_datagrams_are_replaced = socket.try_send_to(&bytes, *address);
     }
 }
 
 fn apply_round(shared: &Shared, peers: &PeerTable, round: &GossipRound) {
     let senders = round.cold_senders.clone();
-    let own = host_hash(&peers.own);
-    shared.fleet().cold.set_hosts(own, senders, peers.is_new());
+    let local = host_hash(&peers.local);
+    shared
+        .fleet()
+        .cold
+        .set_hosts(local, senders, peers.is_warming_up());
     round
-        .gone
+        .lost_peers
         .iter()
-        .for_each(|news| log_member_change(shared, *news));
+        .for_each(|change| log_peer_change(shared, *change));
     shared
         .subscription
-        .set_round(round.sharing, round.hosts, round.is_relay);
-    shared
-        .subscription
-        .set_preferred(round.is_preferred_subscriber);
+        .set_round(round.subscriber_count, round.host_count, round.is_relay);
+    shared.subscription.set_preferred(round.is_preferred);
     shared.subscription.set_standby(round.is_standby);
-    if round.is_relay_news {
+    if round.has_relay_change {
         shared.event_log.emit(&Event::Relays {
             is_relay: round.is_relay,
             sums_up: round.aggregates,
@@ -186,28 +181,23 @@
     }
 }
 
-pub(super) fn log_member_change(shared: &Shared, news: PeerChange) {
+pub(super) fn log_peer_change(shared: &Shared, change: PeerChange) {
     shared.event_log.emit(&Event::Peer {
-        address: news.address,
-        is_up: news.is_up,
+        address: change.address,
+        is_up: change.is_up,
     });
 }
 
-/// The datagrams of a round.
 #[derive(Default)]
 struct RoundDatagrams {
-    /// To the hosts that receive this one's heartbeat.
-    near: Vec<Datagram>,
-    /// To relays of other zones, if this host is one.
-    far: Vec<Datagram>,
-    /// To hosts of a large zone, if this host is its relay.
+    to_peers: Vec<Datagram>,
+    to_relays: Vec<Datagram>,
     to_zone: Vec<Datagram>,
-    /// The same; each recipient finds its own report behind it.
-    sums: Vec<Datagram>,
+    /// To hosts of the zone, each followed by the ID of the recipient's included report.
+    aggregate_chunks: Vec<Datagram>,
 }
 
-/// What to send of this host and, if it is a relay, of its zone.
-fn datagrams_of(
+fn build_datagrams(
     shared: &Shared,
     peers: &PeerTable,
     sequence: u64,
@@ -225,12 +215,12 @@
     let knowledge = StateDigest {
         rules,
         endpoints: fleet.endpoints_version,
-        leaving: in_turn(fleet.endpoints.leaving(), sequence),
+        leaving: select_leaving(fleet.endpoints.leaving(), sequence),
         evacuations: fleet.evacuations.clone(),
         poison: fleet.poison.poison_requests(POISON_PER_DATAGRAM, now_ms),
     };
-    let poison_news = fleet.poison.take_updates(POISON_NEWS_PER_DATAGRAM, now_ms);
-    let answered_ago_ms = |whom| shared.subscription.answered_ago_ms(whom);
+    let poison_updates = fleet.poison.take_updates(POISON_UPDATES_PER_ROUND, now_ms);
+    let answered_ago_ms = |host| shared.subscription.answered_ago_ms(host);
     let reading = shared.subscription.role();
     let heartbeat = Heartbeat {
         zone: peers.zone,
@@ -240,45 +230,45 @@
         far_answered_ago_ms: answered_ago_ms(AnsweredHost::RemoteZone).filter(|_| round.is_relay),
         report: fleet.load.report(peers.incarnation, sequence),
         knowledge: knowledge.clone(),
-        hosts: round.named.clone(),
+        hosts: round.contacts.clone(),
     };
     let pending = fleet
         .prefixes
-        .take_pending(ENTRIES_PER_DATAGRAM * ENTRY_DATAGRAMS);
+        .take_pending(ENTRIES_PER_DATAGRAM * ENTRY_DATAGRAMS_PER_ROUND);
     let mut datagrams = RoundDatagrams {
-        near: vec![Datagram::Heartbeat(heartbeat)],
+        to_peers: vec![Datagram::Heartbeat(heartbeat)],
         ..RoundDatagrams::default()
     };
-    let own_entries = || cache_entries(peers.zone, AggregatePath::Direct, &pending.near);
-    let relayed = || cache_entries(peers.zone, AggregatePath::Relayed, &pending.relayed);
-    datagrams.near.extend(own_entries());
-    if !poison_news.is_empty() {
-        let news = Datagram::Poison(poison_news);
-        datagrams.near.push(news.clone());
-        datagrams.far.push(news.clone());
-        datagrams.to_zone.push(news);
+    let local_entries = || cache_entries(peers.zone, AggregatePath::Direct, &pending.local);
+    let relayed = || cache_entries(peers.zone, AggregatePath::Relayed, &pending.same_zone);
+    datagrams.to_peers.extend(local_entries());
+    if !poison_updates.is_empty() {
+        let update = Datagram::Poison(poison_updates);
+        datagrams.to_peers.push(update.clone());
+        datagrams.to_relays.push(update.clone());
+        datagrams.to_zone.push(update);
     }
     let rollouts = rollout_datagrams(&fleet, peers, now_ms);
-    datagrams.near.extend(rollouts.near);
+    datagrams.to_peers.extend(rollouts.to_peers);
     if round.is_relay {
-        datagrams.far.extend(rollouts.far);
+        datagrams.to_relays.extend(rollouts.to_relays);
     }
     if round.aggregates {
         datagrams.to_zone.extend(rollouts.to_zone);
     }
     if round.is_relay {
         let sum = fleet.load.zone_aggregate(peers.zone, now_ms);
-        datagrams.far.extend(parts(sum).map(|sum| {
+        datagrams.to_relays.extend(split_aggregate(sum).map(|sum| {
             Datagram::ZoneSummary(ZoneSummary {
                 sum,
                 answered_ago_ms: answered_ago_ms(AnsweredHost::SameZone),
                 knowledge: knowledge.clone(),
             })
         }));
-        datagrams.far.extend(cache_entries(
+        datagrams.to_relays.extend(cache_entries(
             peers.zone,
             AggregatePath::Direct,
-            &pending.far,
+            &pending.remote_zones,
         ));
     }
     if round.aggregates {
@@ -289,50 +279,52 @@
             answered_ago_ms: answered_ago_ms(AnsweredHost::SameZone),
             far_answered_ago_ms: answered_ago_ms(AnsweredHost::RemoteZone),
             knowledge,
-            members: round.members.clone(),
+            members: round.zone_members.clone(),
         }));
-        datagrams.to_zone.extend(own_entries());
+        datagrams.to_zone.extend(local_entries());
         datagrams.to_zone.extend(relayed());
         let sum = fleet.load.fleet_aggregate(peers.zone);
-        datagrams.sums.extend(parts(sum).map(Datagram::FleetSum));
+        datagrams
+            .aggregate_chunks
+            .extend(split_aggregate(sum).map(Datagram::FleetSum));
     } else if round.is_relay {
         let sums = fleet.load.remote_zone_aggregates(now_ms).into_iter();
         datagrams
-            .near
-            .extend(sums.flat_map(parts).map(Datagram::FarSum));
-        datagrams.near.extend(relayed());
+            .to_peers
+            .extend(sums.flat_map(split_aggregate).map(Datagram::FarSum));
+        datagrams.to_peers.extend(relayed());
     }
     datagrams
 }
 
-/// Of endpoints that are leaving those whose turn it is in a round.
-fn in_turn(mut leaving: Vec<u32>, sequence: u64) -> Vec<u32> {
-    let turns = leaving.len().div_ceil(LEAVING_PER_DATAGRAM).max(1);
-    if turns == 1 {
+/// The endpoints that are leaving to include in a round, in rotation.
+fn select_leaving(mut leaving: Vec<u32>, sequence: u64) -> Vec<u32> {
+    let chunk_count = leaving.len().div_ceil(LEAVING_PER_DATAGRAM).max(1);
+    if chunk_count == 1 {
         return leaving;
     }
     leaving.sort_unstable();
-    let turn = (sequence % turns as u64) as usize;
-    let of_turn = leaving.into_iter().skip(turn * LEAVING_PER_DATAGRAM);
-    of_turn.take(LEAVING_PER_DATAGRAM).collect()
+    let chunk = (sequence % chunk_count as u64) as usize;
+    let selected = leaving.into_iter().skip(chunk * LEAVING_PER_DATAGRAM);
+    selected.take(LEAVING_PER_DATAGRAM).collect()
 }
 
-/// A sum in parts of a datagram each.
-fn parts(sum: ZoneAggregate) -> impl Iterator<Item = ZoneAggregate> {
+/// Splits an aggregate into chunks of one datagram each.
+fn split_aggregate(sum: ZoneAggregate) -> impl Iterator<Item = ZoneAggregate> {
     sum.split(COUNTS_PER_DATAGRAM).into_iter()
 }
 
 fn cache_entries(
     zone: u32,
     path: AggregatePath,
-    all: &[CacheEntry],
+    entries: &[CacheEntry],
 ) -> impl Iterator<Item = Datagram> {
-    let datagrams = all.chunks(ENTRIES_PER_DATAGRAM);
-    datagrams.map(move |some| {
+    let datagrams = entries.chunks(ENTRIES_PER_DATAGRAM);
+    datagrams.map(move |chunk| {
         Datagram::CacheEntries(CacheEntries {
             zone,
             path,
-            holdings: some.to_vec(),
+            holdings: chunk.to_vec(),
         })
     })
 }
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -1,4 +1,4 @@
-//! Takes what a host is missing from another one.
+//! Pulls missing state from other hosts.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,45 +23,37 @@
     BusyResponse, EndpointUpdate, KnownBuilds, KnownVersions, MissingState, PeerApiClient,
     SupplementaryState,
 };
-use crate::peers::rollouts::merge_news;
+use crate::peers::rollouts::merge_rollout_update;
 use crate::shared::Shared;
 use crate::source::{EndpointChange, ListedEndpoint};
 
-/// A host that does not read the platform waits this long, so that it may learn
-/// of a host of its own zone that knows as much.
-const GATHER: Duration = Duration::from_millis(80);
-/// How often a host that knows nothing asks.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// How often a host that starts asks the hosts of its settings at first, and at
-/// last: pauses double, and each is drawn from there to twice as long. Where all
-/// restart these few are asked by every one, and 300 hosts that asked them each
-/// 100 ms kept them from passing anything on.
-const ASK_SEEDS_FIRST: Duration = Duration::from_millis(50);
-const ASK_SEEDS_LAST: Duration = Duration::from_millis(400);
-/// How long it waits for the first byte of their answers.
+/// Delay before a pull, in which a host of the same zone may become a source.
+const NEWER_PEER_DELAY: Duration = Duration::from_millis(80);
+/// Interval between pulls while this host has no view.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Initial and final pause between queries of the seeds; each is multiplied by a random
+/// factor from 1 to 2. Backoff keeps the seeds responsive when the whole fleet restarts.
+const MIN_SEED_PAUSE: Duration = Duration::from_millis(50);
+const MAX_SEED_PAUSE: Duration = Duration::from_millis(400);
+/// Timeout for the first byte of a seed's response.
 const SEED_TIMEOUT: Duration = Duration::from_millis(200);
-/// When a host that has started asks once more which hosts there are: where all
-/// have restarted, none knew them at first.
-const ASK_HOSTS_AFTER: [Duration; 3] = [
+/// Delays before the hosts are queried again after start; when all hosts restart, the seeds
+/// know few at first.
+const HOST_QUERY_DELAYS: [Duration; 3] = [
     Duration::from_millis(250),
     Duration::from_millis(400),
     Duration::from_millis(900),
 ];
-/// Pause, in milliseconds, before a host that is busy is asked again, or
-/// another one that it named; each pause is drawn. A transfer of 80 KB takes
-/// 65 ms on a link of 10 Mbit/s.
+/// Random pause, in milliseconds, before a busy host or an alternative is queried.
 const BUSY_PAUSE_MS: RangeInclusive<u64> = 20..=100;
-/// How often hosts that are busy are asked before others are: for three
-/// seconds in the mean.
-const BUSY_TRIES: usize = 50;
+/// Attempts while hosts are busy, about three seconds in total.
+const MAX_BUSY_ATTEMPTS: usize = 50;
 
-/// Asks the hosts of the settings for all that they know, until this host can
-/// serve.
+/// Queries the seeds until this host has a complete view.
 pub(crate) async fn pull_at_start(shared: Arc<Shared>, peers: Arc<PeerTable>) {
-    let mut pause = ASK_SEEDS_FIRST;
+    let mut pause = MIN_SEED_PAUSE;
     while !shared.has_view() {
-        // What still arrives when the view is known from elsewhere is not
-        // waited for: it would fill this host's link and the other's.
+        // Cancels transfers once the view is complete, which frees both links.
         tokio::select! {
             () = shared.wait_until_view_known() => {}
             () = pull_from_seeds(&shared, &peers) => {}
@@ -71,147 +63,144 @@
             () = shared.wait_until_view_known() => {}
             () = tokio::time::sleep(pause.mul_f64(rand::rng().random_range(1.0..2.0))) => {}
         }
-        pause = (2 * pause).min(ASK_SEEDS_LAST);
+        pause = (2 * pause).min(MAX_SEED_PAUSE);
     }
-    // Sends a heartbeat to the hosts that were named.
+    // Sends a heartbeat to the newly added hosts.
     shared.publish_now.notify_one();
-    for pause in ASK_HOSTS_AFTER {
+    for pause in HOST_QUERY_DELAYS {
         tokio::time::sleep(pause).await;
         pull_from_seeds(&shared, &peers).await;
         shared.publish_now.notify_one();
     }
 }
 
-/// Asks all hosts of the settings together, until one passes on all it takes to
-/// serve, and then one of those that they name while they are busy.
+/// Queries all seeds at once until one completes the view, and then an alternative that a
+/// busy seed named.
 async fn pull_from_seeds(shared: &Shared, peers: &PeerTable) {
     let seeds = shared.config.peer_seeds.iter();
-    let others = seeds.filter(|seed| **seed != peers.own);
+    let others = seeds.filter(|seed| **seed != peers.local);
     let pulls = others.map(|seed| {
-        let have = have(shared, peers);
-        pull(shared, *seed, have, SEED_TIMEOUT)
+        let known = known_versions(shared, peers);
+        pull(shared, *seed, known, SEED_TIMEOUT)
     });
     let mut pulls: FuturesUnordered<_> = pulls.collect();
-    let mut named = None;
+    let mut alternative = None;
     while let Some(pulled) = pulls.next().await {
-        let busy = pulled.and_then(|missing| take(shared, peers, missing));
+        let busy = pulled.and_then(|missing| apply(shared, peers, missing));
         if shared.has_view() {
             return;
         }
-        named = busy.and_then(|busy| named_by(&busy, peers)).or(named);
+        alternative = busy
+            .and_then(|busy| pick_alternative(&busy, peers))
+            .or(alternative);
     }
-    if let Some(named) = named {
-        let have = have(shared, peers);
-        let missing = pull(shared, named, have, SEED_TIMEOUT).await;
-        missing.and_then(|missing| take(shared, peers, missing));
+    if let Some(alternative) = alternative {
+        let known = known_versions(shared, peers);
+        let missing = pull(shared, alternative, known, SEED_TIMEOUT).await;
+        missing.and_then(|missing| apply(shared, peers, missing));
     }
 }
 
-/// Pulls from another host whenever one knows more, until the process ends.
+/// Pulls whenever another host knows a newer version, until the process ends.
 pub(crate) async fn pull_when_outdated(shared: Arc<Shared>, peers: Arc<PeerTable>) {
-    // The platform may answer within this, which costs no transfer.
-    let patience = ms(shared.config.follow.store_wait_ms);
-    'behind: loop {
-        let asked = tokio::time::timeout(ASK_EVERY, peers.newer_known.notified());
-        let knows_of_more = asked.await.is_ok();
-        if knows_of_more {
+    // The store may answer within this time, which saves a transfer.
+    let store_wait = ms(shared.config.follow.store_wait_ms);
+    'wait: loop {
+        let notified = tokio::time::timeout(POLL_INTERVAL, peers.newer_peer_found.notified());
+        let is_notified = notified.await.is_ok();
+        if is_notified {
             let pause = match (shared.has_view(), shared.subscription.is_subscriber()) {
                 (false, _) => Duration::ZERO,
-                (true, true) => patience,
-                (true, false) => GATHER,
+                (true, true) => store_wait,
+                (true, false) => NEWER_PEER_DELAY,
             };
             tokio::time::sleep(pause).await;
         } else if shared.has_view() {
             continue;
         }
-        let Some(first) = peers.take_newer().or_else(|| peers.any()) else {
+        let Some(first) = peers.take_newer_peer().or_else(|| peers.any_up()) else {
             continue;
         };
-        // Whoever knows more may have gone meanwhile; by now others know it too.
-        let second = peers.any().filter(|address| *address != first);
+        // The first host may be down; others know the version by now.
+        let second = peers.any_up().filter(|address| *address != first);
         for address in [Some(first), second].into_iter().flatten() {
-            if catch_up(&shared, &peers, address).await != CaughtUp::No {
-                continue 'behind;
+            if catch_up(&shared, &peers, address).await != CatchUp::Failed {
+                continue 'wait;
             }
         }
-        // No host that knows more can be reached: the platform may be.
+        // No host with the newer version is reachable; the store may be.
         shared.subscription.request_reread();
     }
 }
 
-/// Takes what is missing from one of two other hosts, any of them. Returns whether
-/// one could be asked that did not stand still itself.
+/// Pulls from up to two random hosts. Returns whether one of them had a fresh view.
 pub(crate) async fn catch_up_with_any(shared: &Shared, peers: &PeerTable) -> bool {
-    const TRIES: usize = 2;
-    for _ in 0..TRIES {
-        let Some(address) = peers.any() else {
+    const MAX_ATTEMPTS: usize = 2;
+    for _ in 0..MAX_ATTEMPTS {
+        let Some(address) = peers.any_up() else {
             return false;
         };
-        if catch_up(shared, peers, address).await == CaughtUp::WithFresh {
+        if catch_up(shared, peers, address).await == CatchUp::FromFresh {
             return true;
         }
     }
     false
 }
 
-/// What became of taking what is missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CaughtUp {
-    /// The host was not busy, and did not stand still of late.
-    WithFresh,
-    /// It was not busy.
-    WithStale,
-    /// It could not be asked, or was busy for too long.
-    No,
+enum CatchUp {
+    /// The host had a complete view and was not suspended recently.
+    FromFresh,
+    /// The host answered without a fresh view.
+    FromStale,
+    /// The host was unreachable or busy for too long.
+    Failed,
 }
 
-/// Takes what is missing from a host that knows more, and from those it names
-/// while it is busy.
-async fn catch_up(shared: &Shared, peers: &PeerTable, first: SocketAddr) -> CaughtUp {
-    let first_byte = ms(shared.config.follow.pull_timeout_ms);
+/// Pulls from a host with a newer version, and from the alternatives that it names while it
+/// is busy.
+async fn catch_up(shared: &Shared, peers: &PeerTable, first: SocketAddr) -> CatchUp {
+    let timeout = ms(shared.config.follow.pull_timeout_ms);
     let mut from = first;
-    for _ in 0..BUSY_TRIES {
-        let have = have(shared, peers);
-        let Some(missing) = pull(shared, from, have, first_byte).await else {
+    for _ in 0..MAX_BUSY_ATTEMPTS {
+        let known = known_versions(shared, peers);
+        let Some(missing) = pull(shared, from, known, timeout).await else {
             if from == first {
-                return CaughtUp::No;
+                return CatchUp::Failed;
             }
-            // One that it named has gone.
             from = first;
             continue;
         };
-        let done = if missing.0.is_fresh {
-            CaughtUp::WithFresh
+        let outcome = if missing.0.is_fresh {
+            CatchUp::FromFresh
         } else {
-            CaughtUp::WithStale
+            CatchUp::FromStale
         };
-        let Some(busy) = take(shared, peers, missing) else {
-            return done;
+        let Some(busy) = apply(shared, peers, missing) else {
+            return outcome;
         };
         let pause_ms = rand::rng().random_range(BUSY_PAUSE_MS);
         tokio::time::sleep(ms(pause_ms)).await;
-        if !is_behind(shared, &busy) {
-            return done;
+        if !is_outdated(shared, &busy) {
+            return outcome;
         }
-        from = named_by(&busy, peers).unwrap_or(first);
+        from = pick_alternative(&busy, peers).unwrap_or(first);
     }
-    CaughtUp::No
+    CatchUp::Failed
 }
 
-/// Whether a host that was busy still knows more.
-fn is_behind(shared: &Shared, busy: &BusyResponse) -> bool {
+fn is_outdated(shared: &Shared, busy: &BusyResponse) -> bool {
     busy.rules > shared.rules.version() || busy.endpoints > shared.fleet().endpoints_version
 }
 
-/// Another host that may know as much as one that is busy.
-fn named_by(busy: &BusyResponse, peers: &PeerTable) -> Option<SocketAddr> {
-    let others = busy.ask.iter().filter(|address| **address != peers.own);
+fn pick_alternative(busy: &BusyResponse, peers: &PeerTable) -> Option<SocketAddr> {
+    let others = busy.ask.iter().filter(|address| **address != peers.local);
     others.choose(&mut rand::rng()).copied()
 }
 
-fn have(shared: &Shared, peers: &PeerTable) -> KnownVersions {
+fn known_versions(shared: &Shared, peers: &PeerTable) -> KnownVersions {
     KnownVersions {
-        address: peers.own,
+        address: peers.local,
         hosts: peers.recent().len(),
         rules: shared.rules.version(),
         endpoints: shared
@@ -220,32 +209,33 @@
     }
 }
 
-/// Takes from another host what this one is missing, and logs what became of it.
+/// Pulls from another host and logs the outcome.
 async fn pull(
     shared: &Shared,
     from: SocketAddr,
-    have: KnownVersions,
-    first_byte: Duration,
+    known: KnownVersions,
+    first_byte_timeout: Duration,
 ) -> Option<(MissingState, SupplementaryState)> {
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let count = Arc::new(ByteCount::default());
-    let patience = IdleLimits {
-        first_byte,
+    let idle_limits = IdleLimits {
+        first_byte: first_byte_timeout,
         between_bytes: ms(shared.config.follow.stall_ms),
     };
-    let asked = ask(from, have, count.clone());
-    let (outcome, missing) = match while_arriving(asked, || count.read_bytes(), patience).await {
-        Some(Some((missing, besides))) => {
-            let outcome = match (&missing.busy, &missing.rules) {
-                (Some(_), _) => Some(PullOutcome::Busy),
-                (None, Some(_)) => Some(PullOutcome::Rules),
-                (None, None) => None,
-            };
-            (outcome, Some((missing, besides)))
-        }
-        Some(None) => (Some(PullOutcome::Broken), None),
-        None => (Some(PullOutcome::GivenUp), None),
-    };
+    let response = request_missing(from, known, count.clone());
+    let (outcome, missing) =
+        match while_arriving(response, || count.read_bytes(), idle_limits).await {
+            Some(Some((missing, besides))) => {
+                let outcome = match (&missing.busy, &missing.rules) {
+                    (Some(_), _) => Some(PullOutcome::Busy),
+                    (None, Some(_)) => Some(PullOutcome::Rules),
+                    (None, None) => None,
+                };
+                (outcome, Some((missing, besides)))
+            }
+            Some(None) => (Some(PullOutcome::Broken), None),
+            None => (Some(PullOutcome::GivenUp), None),
+        };
     let read_bytes = count.read_bytes();
     shared
         .metrics
@@ -255,27 +245,32 @@
             from,
             outcome,
             read_bytes,
-            took_ms: began_at.elapsed().as_millis() as u64,
+            took_ms: started_at.elapsed().as_millis() as u64,
         });
     }
     missing
 }
 
-/// Asks another host for what this one is missing. What else it knows of endpoints is
-/// asked first: a list that has come is then used at once. A host of an earlier build
-/// breaks off at that, and is asked for the rest alone.
-async fn ask(
+/// Requests supplementary state first, so that a received list is complete. An older build
+/// closes the connection on that call and is asked for the rest alone.
+async fn request_missing(
     address: SocketAddr,
-    have: KnownVersions,
+    known: KnownVersions,
     count: Arc<ByteCount>,
 ) -> Option<(MissingState, SupplementaryState)> {
     let client = connect(address, count.clone()).await?;
     if let Ok(besides) = client.besides(tarpc::context::current()).await {
-        let missing = client.missing(tarpc::context::current(), have).await.ok()?;
+        let missing = client
+            .missing(tarpc::context::current(), known)
+            .await
+            .ok()?;
         return Some((missing, besides));
     }
     let client = connect(address, count).await?;
-    let missing = client.missing(tarpc::context::current(), have).await.ok()?;
+    let missing = client
+        .missing(tarpc::context::current(), known)
+        .await
+        .ok()?;
     Some((missing, SupplementaryState::default()))
 }
 
@@ -285,41 +280,39 @@
     Some(PeerApiClient::new(tarpc::client::Config::default(), framed).spawn())
 }
 
-/// Takes what another host passed on. Returns what it says of itself if it was
-/// too busy to pass on all.
-fn take(
+/// Applies a response. Returns the busy response if it was incomplete.
+fn apply(
     shared: &Shared,
     peers: &PeerTable,
     (missing, besides): (MissingState, SupplementaryState),
 ) -> Option<BusyResponse> {
-    const FROM: &str = "peer";
+    const SOURCE: &str = "peer";
     let hosts = missing.hosts.iter();
     peers.add(hosts.map(|host| (host.address, Some(host.zone))));
-    // Before the endpoints, so that none of an evacuated zone is sent anything.
-    let mut is_news = shared.merge_evacuations(&missing.evacuations, FROM);
-    is_news |= shared.merge_poison(&missing.poison, FROM);
+    // Evacuations come before endpoints, so that no evacuated endpoint receives requests.
+    let mut has_changed = shared.merge_evacuations(&missing.evacuations, SOURCE);
+    has_changed |= shared.merge_poison(&missing.poison, SOURCE);
     if let Some(rollouts) = besides.rollouts {
-        merge_news(shared, rollouts, false);
+        merge_rollout_update(shared, rollouts, false);
     }
     if let Some(rules) = missing.rules {
-        is_news |= shared.apply_rules_update(rules, FROM);
+        has_changed |= shared.apply_rules_update(rules, SOURCE);
     }
-    if let Some(news) = missing.endpoints {
-        if take_endpoints(shared, with_builds(news, &besides.builds)) {
-            is_news = true;
-            shared.log_endpoints(FROM);
+    if let Some(update) = missing.endpoints {
+        if apply_endpoints(shared, with_builds(update, &besides.builds)) {
+            has_changed = true;
+            shared.log_endpoints(SOURCE);
         }
         shared.record_endpoints_known();
     }
-    if is_news && shared.subscription.is_relay() {
-        // The hosts of a large zone learn of it from their relays only.
+    if has_changed && shared.subscription.is_relay() {
+        // The hosts of a large zone learn of it only from their relays.
         shared.publish_now.notify_one();
     }
     missing.busy
 }
 
-/// The list of endpoints with the software that each runs, as far as it was told.
-fn with_builds(mut news: EndpointUpdate, builds: &KnownBuilds) -> EndpointUpdate {
+fn with_builds(mut update: EndpointUpdate, builds: &KnownBuilds) -> EndpointUpdate {
     let others: HashMap<u32, &BuildVersion> = builds
         .others
         .iter()
@@ -330,7 +323,7 @@
         .iter()
         .map(|(pool, build)| (pool, build))
         .collect();
-    let tell = |listed: &mut ListedEndpoint| {
+    let set_build = |listed: &mut ListedEndpoint| {
         let endpoint = &mut listed.endpoint;
         let start = endpoint.start_hash().short();
         let build = others.get(&start).or_else(|| usual.get(&endpoint.pool));
@@ -338,8 +331,8 @@
             endpoint.build = BuildVersion::clone(build);
         }
     };
-    match &mut news {
-        EndpointUpdate::Entire { endpoints, .. } => endpoints.iter_mut().for_each(tell),
+    match &mut update {
+        EndpointUpdate::Entire { endpoints, .. } => endpoints.iter_mut().for_each(set_build),
         EndpointUpdate::Changes(rows) => {
             let changes = rows.iter_mut().map(|row| &mut row.change);
             changes
@@ -347,23 +340,23 @@
                     EndpointChange::Listed(listed) => Some(listed),
                     EndpointChange::Gone(_) | EndpointChange::Unreadable(_) => None,
                 })
-                .for_each(tell);
+                .for_each(set_build);
         }
     }
-    news
+    update
 }
 
-fn take_endpoints(shared: &Shared, news: EndpointUpdate) -> bool {
+fn apply_endpoints(shared: &Shared, update: EndpointUpdate) -> bool {
     let now_ms = shared.clock.now_ms();
-    let knew_any = shared.knows_endpoints();
+    let had_list = shared.knows_endpoints();
     let mut fleet = shared.fleet();
-    match news {
+    match update {
         EndpointUpdate::Entire { version, endpoints } => {
-            let is_news = version > fleet.endpoints_version || !knew_any;
-            if is_news {
+            let has_changed = version > fleet.endpoints_version || !had_list;
+            if has_changed {
                 fleet.replace(endpoints, version, now_ms);
             }
-            is_news
+            has_changed
         }
         EndpointUpdate::Changes(rows) => fleet.apply_changes(rows, now_ms),
     }
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of rollouts.
+//! Exchange of rollout state between hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::rollouts::KnownRecord;
 use crate::shared::Shared;
 
-/// Rows of counts in a datagram: about 1 KB.
+/// Tally rows in a datagram of about 1 KB.
 const ROWS_PER_DATAGRAM: usize = 24;
 
-/// Orders to move pools to other builds, and how far that has come.
+/// Rollout orders and progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RolloutUpdate {
     pub(crate) orders: RolloutOrders,
@@ -27,48 +27,48 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PoolRollout {
     pub(crate) pool: PoolId,
-    /// The order, and how old it is.
+    /// Version and age of the order.
     pub(crate) order: StoreVersion,
     pub(crate) age_ms: u64,
-    /// The record in force, and its version at the store.
+    /// The current record and its version in the store.
     pub(crate) record: Option<(RolloutRecord, StoreVersion)>,
 }
 
-/// Counts of a rollout's answers, or some rows of them.
+/// Answers counted for a rollout, or some rows of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RolloutTally {
     pub(crate) pool: PoolId,
     pub(crate) order: StoreVersion,
-    /// The short hash of the zone that the host is of, or that is summed up.
+    /// Short hash of the zone of the host or aggregate.
     pub(crate) zone: u32,
     pub(crate) of: TallyScope,
     pub(crate) rows: Vec<TallyRow>,
-    /// How long the longest request of each route stayed, in milliseconds.
+    /// Longest service time of each route, in milliseconds.
     pub(crate) longest_stays_ms: Vec<(Arc<str>, u64)>,
 }
 
-/// Whose counts these are.
+/// Scope of a tally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum TallyScope {
-    /// The sender's, in one life.
+    /// The sender, in one incarnation.
     Host { incarnation: u64 },
-    /// All hosts of the sender's zone that it hears.
+    /// All hosts of the sender's zone that report to it.
     Zone,
 }
 
-/// What to tell of rollouts in a round.
+/// Rollout datagrams of a round.
 #[derive(Debug, Default)]
 pub(super) struct RolloutDatagrams {
-    /// To whoever is sent this host's heartbeat.
-    pub(super) near: Vec<Datagram>,
-    /// To relays of other zones, if this host is one.
-    pub(super) far: Vec<Datagram>,
+    /// To the recipients of the heartbeat.
+    pub(super) to_peers: Vec<Datagram>,
+    /// To relays of other zones, if this host is a relay.
+    pub(super) to_relays: Vec<Datagram>,
     /// To the hosts of a large zone, if this host is its relay.
     pub(super) to_zone: Vec<Datagram>,
 }
 
-/// What is known of rollouts, to pass on; `None` where none is known.
-pub(super) fn news_of(fleet: &Fleet, now_ms: u64) -> Option<RolloutUpdate> {
+/// The known rollouts, to send to another host; `None` if there are none.
+pub(super) fn rollout_update(fleet: &Fleet, now_ms: u64) -> Option<RolloutUpdate> {
     let rollouts = &fleet.rollouts;
     if rollouts.is_empty() {
         return None;
@@ -89,16 +89,15 @@
     })
 }
 
-/// The datagrams of a round.
 pub(super) fn rollout_datagrams(fleet: &Fleet, peers: &PeerTable, now_ms: u64) -> RolloutDatagrams {
-    let Some(news) = news_of(fleet, now_ms) else {
+    let Some(update) = rollout_update(fleet, now_ms) else {
         return RolloutDatagrams::default();
     };
-    let news = Datagram::Rollouts(news);
+    let update = Datagram::Rollouts(update);
     let mut datagrams = RolloutDatagrams {
-        near: vec![news.clone()],
-        far: vec![news.clone()],
-        to_zone: vec![news],
+        to_peers: vec![update.clone()],
+        to_relays: vec![update.clone()],
+        to_zone: vec![update],
     };
     for (pool, _) in fleet.rollouts.pools() {
         let is_over = fleet
@@ -113,8 +112,8 @@
         if is_over {
             continue;
         }
-        let stays_ms = fleet.max_service_times_ms(pool, now_ms);
-        let stays_ms: Vec<(Arc<str>, u64)> = stays_ms.into_iter().collect();
+        let max_service_times_ms = fleet.max_service_times_ms(pool, now_ms);
+        let max_service_times_ms: Vec<(Arc<str>, u64)> = max_service_times_ms.into_iter().collect();
         let datagram = |of: TallyScope, rows: &[TallyRow]| {
             Datagram::RolloutTally(RolloutTally {
                 pool: pool.clone(),
@@ -122,72 +121,72 @@
                 zone: peers.zone,
                 of,
                 rows: rows.to_vec(),
-                longest_stays_ms: stays_ms.clone(),
+                longest_stays_ms: max_service_times_ms.clone(),
             })
         };
         let incarnation = peers.incarnation;
-        let own = Vec::from(evidence.local_tally().clone());
-        let own = own.chunks(ROWS_PER_DATAGRAM);
-        let own = own.map(|rows| datagram(TallyScope::Host { incarnation }, rows));
-        datagrams.near.extend(own);
+        let local = Vec::from(evidence.local_tally().clone());
+        let local = local.chunks(ROWS_PER_DATAGRAM);
+        let local = local.map(|rows| datagram(TallyScope::Host { incarnation }, rows));
+        datagrams.to_peers.extend(local);
         if peers.is_relay() {
             let zone = Vec::from(evidence.zone_tally());
             let zone = zone.chunks(ROWS_PER_DATAGRAM);
             let zone = zone.map(|rows| datagram(TallyScope::Zone, rows));
-            datagrams.far.extend(zone);
+            datagrams.to_relays.extend(zone);
         }
     }
     datagrams
 }
 
-/// Another host told of rollouts. A relay passes on what is news.
-pub(super) fn merge_news(shared: &Shared, news: RolloutUpdate, passes_on: bool) {
-    const FROM: &str = "peer";
-    let mut is_news = shared.merge_rollout_orders(&news.orders, FROM);
+/// Merges rollout state from a peer. A relay passes on what is new.
+pub(super) fn merge_rollout_update(shared: &Shared, update: RolloutUpdate, passes_on: bool) {
+    const SOURCE: &str = "peer";
+    let mut has_changed = shared.merge_rollout_orders(&update.orders, SOURCE);
     let now_ms = shared.clock.now_ms();
-    for told in news.pools {
+    for received in update.pools {
         let mut fleet = shared.fleet();
         let rollouts = &mut fleet.rollouts;
-        rollouts.merge_age(&told.pool, told.order, told.age_ms, now_ms);
+        rollouts.merge_age(&received.pool, received.order, received.age_ms, now_ms);
         drop(fleet);
-        if let Some((record, version)) = told.record {
+        if let Some((record, version)) = received.record {
             let known = KnownRecord {
-                pool: told.pool,
+                pool: received.pool,
                 record,
                 version,
             };
-            is_news |= shared.merge_rollout_record(known, None, FROM);
+            has_changed |= shared.merge_rollout_record(known, None, SOURCE);
         }
     }
-    if is_news && passes_on {
+    if has_changed && passes_on {
         shared.publish_now.notify_one();
     }
 }
 
-/// Another host, or a relay of another zone, told what it counted.
+/// Merges a tally from a host or from a relay of another zone.
 pub(super) fn merge_tally(
     shared: &Shared,
     peers: &PeerTable,
     address: SocketAddr,
-    told: RolloutTally,
+    received: RolloutTally,
 ) {
     let mut fleet = shared.fleet();
-    let is_alone = peers.counts_alone(told.zone, fleet.load.remote_host_count());
-    let source = match told.of {
-        TallyScope::Host { incarnation } if is_alone => EvidenceSource::Host {
+    let counts_alone = peers.counts_alone(received.zone, fleet.load.remote_host_count());
+    let source = match received.of {
+        TallyScope::Host { incarnation } if counts_alone => EvidenceSource::Host {
             host: address,
             incarnation,
         },
-        TallyScope::Zone if told.zone != peers.zone => EvidenceSource::Zone {
-            zone: told.zone,
+        TallyScope::Zone if received.zone != peers.zone => EvidenceSource::Zone {
+            zone: received.zone,
             relay: address,
         },
         TallyScope::Host { .. } | TallyScope::Zone => return,
     };
-    if let Some(evidence) = fleet.rollouts.evidence_mut(&told.pool, told.order) {
-        evidence.merge(source, told.rows.into());
-        for (route, stay_ms) in &told.longest_stays_ms {
-            evidence.record_service_time(route, *stay_ms);
+    if let Some(evidence) = fleet.rollouts.evidence_mut(&received.pool, received.order) {
+        evidence.merge(source, received.rows.into());
+        for (route, service_ms) in &received.longest_stays_ms {
+            evidence.record_service_time(route, *service_ms);
         }
     }
 }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! Answers other hosts that ask what they are missing, over tarpc.
+//! Answers pull requests of other hosts, over tarpc.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,51 +19,45 @@
 use crate::peers::api::{
     BusyResponse, EndpointUpdate, KnownVersions, MissingState, PeerApi, SupplementaryState,
 };
-use crate::peers::rollouts::news_of;
+use crate::peers::rollouts::rollout_update;
 use crate::peers::uploads::Uploads;
 use crate::shared::Shared;
 
-/// Pause after the system could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(500);
-/// A host that knows of no more than one in so many is sent the names of all.
-const FEW_PART: usize = 2;
-/// Routes, organisations and endpoints that are passed on to any number of
-/// hosts at once: some 16 KB, or 13 ms of a link of 10 Mbit/s. A host that
-/// starts before 160 endpoints takes all from the first that it asks.
-const SMALL_ENTRIES: usize = 256;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// A requester that knows at most the host count divided by this receives all hosts.
+const FEW_HOSTS_DIVISOR: usize = 2;
+/// Responses with at most this many entries, about 16 KB, need no transfer slot.
+const MAX_UNLIMITED_ENTRIES: usize = 256;
+const MAX_POISON_REQUESTS: usize = 1_024;
 
-/// Requests that are sent no further, as far as an answer names them: 14 KB.
-const POISON_MAX: usize = 1_024;
-
-/// Answers other hosts, until the process ends.
 pub(crate) async fn serve_pulls(shared: Arc<Shared>, peers: Arc<PeerTable>, listener: TcpListener) {
     let uploads = Arc::new(Uploads::new(shared.config.uploads_max));
     let mut outage = OutageLog::new("peers-socket");
     loop {
-        let stream = outage.accept(&shared, &listener, ACCEPT_PAUSE).await;
-        let answers = Answers {
+        let stream = outage.accept(&shared, &listener, ACCEPT_RETRY_DELAY).await;
+        let server = PeerServer {
             shared: shared.clone(),
             peers: peers.clone(),
             uploads: uploads.clone(),
             upload: Arc::default(),
         };
-        tokio::spawn(serve(answers, stream));
+        tokio::spawn(serve_connection(server, stream));
     }
 }
 
-/// Answers one connection until it is closed, or until nothing moves on it: a
-/// host that has gone shall not keep others from their turn.
-async fn serve(answers: Answers, stream: TcpStream) {
+/// Answers one connection until it closes or stalls, so that an unreachable host does not
+/// hold a transfer slot.
+async fn serve_connection(server: PeerServer, stream: TcpStream) {
     let count = Arc::new(ByteCount::default());
-    let between_bytes = ms(answers.shared.config.follow.stall_ms);
-    let limits = IdleLimits {
+    let between_bytes = ms(server.shared.config.follow.stall_ms);
+    let idle_limits = IdleLimits {
         first_byte: between_bytes,
         between_bytes,
     };
     let channel = BaseChannel::with_defaults(transport(stream, count.clone()));
-    let requests = run_requests(channel.execute(answers.serve()));
-    let moved = || count.read_bytes() + count.written_bytes();
-    let _closed_either_way = while_arriving(requests, moved, limits).await;
+    let requests = run_requests(channel.execute(server.serve()));
+    let transferred_bytes = || count.read_bytes() + count.written_bytes();
+    let _closed_either_way = while_arriving(requests, transferred_bytes, idle_limits).await;
 }
 
 async fn run_requests<F: Future<Output = ()>>(requests: impl Stream<Item = F>) {
@@ -73,21 +67,19 @@
     }
 }
 
-/// Answers the requests of one connection.
 #[derive(Clone)]
-struct Answers {
+struct PeerServer {
     shared: Arc<Shared>,
     peers: Arc<PeerTable>,
     uploads: Arc<Uploads>,
-    /// Held from an answer with many entries until the connection ends, as it
-    /// does when the answer has arrived.
+    /// Transfer slot of a large response, held until the connection ends.
     upload: Arc<Mutex<Option<OwnedSemaphorePermit>>>,
 }
 
-impl PeerApi for Answers {
+impl PeerApi for PeerServer {
     async fn missing(self, _: tarpc::context::Context, have: KnownVersions) -> MissingState {
         let mut hosts = self.peers.recent();
-        if have.hosts > hosts.len() / FEW_PART {
+        if have.hosts > hosts.len() / FEW_HOSTS_DIVISOR {
             hosts.clear();
         }
         self.shared.detect_suspension();
@@ -96,17 +88,17 @@
             .shared
             .fleet()
             .poison
-            .poison_requests(POISON_MAX, now_ms);
+            .poison_requests(MAX_POISON_REQUESTS, now_ms);
         let missing = MissingState {
             rules: self.shared.rules.update_since(have.rules),
-            endpoints: endpoint_news(&self.shared, have.endpoints),
+            endpoints: endpoint_update(&self.shared, have.endpoints),
             evacuations: self.shared.fleet().evacuations.clone(),
             poison,
             is_fresh: self.shared.has_view(),
             hosts,
             busy: None,
         };
-        self.within_uploads(missing, have.address)
+        self.limit_uploads(missing, have.address)
     }
 
     async fn besides(self, _: tarpc::context::Context) -> SupplementaryState {
@@ -114,21 +106,21 @@
         let fleet = self.shared.fleet();
         SupplementaryState {
             builds: fleet.known_builds(),
-            rollouts: news_of(&fleet, now_ms),
+            rollouts: rollout_update(&fleet, now_ms),
         }
     }
 }
 
-impl Answers {
-    /// An answer as it may be sent now: what is large only while few such are
-    /// on their way.
-    fn within_uploads(&self, missing: MissingState, to: SocketAddr) -> MissingState {
+impl PeerServer {
+    /// Limits concurrent large responses: without a free slot, returns only small parts and
+    /// a busy response.
+    fn limit_uploads(&self, missing: MissingState, to: SocketAddr) -> MissingState {
         let rules = missing.rules.as_ref().map_or(0, RulesUpdate::entries);
         let endpoints = missing
             .endpoints
             .as_ref()
             .map_or(0, EndpointUpdate::entries);
-        if rules + endpoints <= SMALL_ENTRIES {
+        if rules + endpoints <= MAX_UNLIMITED_ENTRIES {
             return missing;
         }
         let version = self.shared.rules.version();
@@ -136,11 +128,13 @@
             let busy = BusyResponse {
                 rules: version,
                 endpoints: self.shared.fleet().endpoints_version,
-                ask: self.uploads.takers(version),
+                ask: self.uploads.recipients(version),
             };
             return MissingState {
-                rules: missing.rules.filter(|_| rules <= SMALL_ENTRIES),
-                endpoints: missing.endpoints.filter(|_| endpoints <= SMALL_ENTRIES),
+                rules: missing.rules.filter(|_| rules <= MAX_UNLIMITED_ENTRIES),
+                endpoints: missing
+                    .endpoints
+                    .filter(|_| endpoints <= MAX_UNLIMITED_ENTRIES),
                 busy: Some(busy),
                 ..missing
             };
@@ -151,19 +145,18 @@
     }
 }
 
-/// What another host is missing of the list, given the version that it has.
-fn endpoint_news(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointUpdate> {
+fn endpoint_update(shared: &Shared, have: Option<StoreVersion>) -> Option<EndpointUpdate> {
     if !shared.knows_endpoints() {
         return None;
     }
     let now_ms = shared.clock.now_ms();
     let fleet = shared.fleet();
-    let whole = || EndpointUpdate::Entire {
+    let full_list = || EndpointUpdate::Entire {
         version: fleet.endpoints_version,
         endpoints: fleet.listed(now_ms),
     };
     let Some(have) = have else {
-        return Some(whole());
+        return Some(full_list());
     };
     if fleet.endpoints_version <= have {
         return None;
@@ -171,5 +164,5 @@
     let changes = fleet
         .changes_after(have, now_ms)
         .map(EndpointUpdate::Changes);
-    Some(changes.unwrap_or_else(whole))
+    Some(changes.unwrap_or_else(full_list))
 }
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -1,97 +1,89 @@
-//! What a host believes of prefixes, and what of it the others don't know.
+//! Known prefix locations and pending updates to other hosts.
 
 use chalkrock_routing::{CacheEntry, PrefixDirectory};
 
-/// Prefixes that wait to be told.
-const PENDING_MAX: usize = 2_048;
+/// Maximum pending entries of each kind.
+const MAX_PENDING: usize = 2_048;
 
-/// What the other hosts are to be told of prefixes.
+/// Cache entries to send to other hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingUpdates {
-    /// Those that this host tells of itself.
-    pub(crate) near: Vec<CacheEntry>,
-    /// The other zones, if this host is a relay.
-    pub(crate) far: Vec<CacheEntry>,
-    /// What the other zones told, for the hosts of this one.
-    pub(crate) relayed: Vec<CacheEntry>,
+    /// Local entries.
+    pub(crate) local: Vec<CacheEntry>,
+    /// Entries for other zones, if this host is a relay.
+    pub(crate) remote_zones: Vec<CacheEntry>,
+    /// Entries to relay to hosts of this zone.
+    pub(crate) same_zone: Vec<CacheEntry>,
 }
 
-/// Prefixes and who holds them.
+/// Prefix locations and pending updates.
 #[derive(Debug, Default)]
 pub(crate) struct Prefixes {
-    map: PrefixDirectory,
+    directory: PrefixDirectory,
     pending: PendingUpdates,
 }
 
 impl Prefixes {
-    /// Who holds what.
-    pub(crate) fn map(&self) -> &PrefixDirectory {
-        &self.map
+    pub(crate) fn directory(&self) -> &PrefixDirectory {
+        &self.directory
     }
 
-    /// An endpoint answers a request, and so holds the parts of its prompt.
+    /// Records that an endpoint holds the prompt's prefixes after it answers.
     pub(crate) fn record(&mut self, parts: &[u32], endpoint: u32, now_ms: u64) {
         for &part in parts {
-            let holding = CacheEntry { part, endpoint };
-            if self.map.record(holding, now_ms) {
-                self.pending.near.push(holding);
-                self.pending.far.push(holding);
+            let entry = CacheEntry { part, endpoint };
+            if self.directory.record(entry, now_ms) {
+                self.pending.local.push(entry);
+                self.pending.remote_zones.push(entry);
             }
         }
     }
 
-    /// A host told what endpoints hold; the other zones may not know it, nor
-    /// may the hosts of this one if it is for this host to tell them.
-    pub(crate) fn merge_same_zone(
-        &mut self,
-        holdings: &[CacheEntry],
-        aggregates: bool,
-        now_ms: u64,
-    ) {
-        for holding in holdings {
-            if self.map.merge(*holding, now_ms) {
-                self.pending.far.push(*holding);
-                if aggregates {
-                    self.pending.relayed.push(*holding);
+    /// Merges entries from a host of the same zone and queues them for other zones; a relay
+    /// of a large zone also queues them for its own.
+    pub(crate) fn merge_same_zone(&mut self, entries: &[CacheEntry], relays: bool, now_ms: u64) {
+        for entry in entries {
+            if self.directory.merge(*entry, now_ms) {
+                self.pending.remote_zones.push(*entry);
+                if relays {
+                    self.pending.same_zone.push(*entry);
                 }
             }
         }
     }
 
-    /// Another zone told what endpoints hold; this zone may not know it.
-    pub(crate) fn merge_remote_zone(&mut self, holdings: &[CacheEntry], now_ms: u64) {
-        for holding in holdings {
-            if self.map.merge(*holding, now_ms) {
-                self.pending.relayed.push(*holding);
+    /// Merges entries from a remote zone and queues them for this one.
+    pub(crate) fn merge_remote_zone(&mut self, entries: &[CacheEntry], now_ms: u64) {
+        for entry in entries {
+            if self.directory.merge(*entry, now_ms) {
+                self.pending.same_zone.push(*entry);
             }
         }
     }
 
-    /// A relay of this zone passed on what endpoints hold.
-    pub(crate) fn merge_relayed(&mut self, holdings: &[CacheEntry], now_ms: u64) {
-        for holding in holdings {
-            self.map.merge(*holding, now_ms);
+    /// Merges entries that a relay of this zone passed on.
+    pub(crate) fn merge_relayed(&mut self, entries: &[CacheEntry], now_ms: u64) {
+        for entry in entries {
+            self.directory.merge(*entry, now_ms);
         }
     }
 
-    /// What to tell, once: so many of each kind, the rest later. What waits is
-    /// bounded, and the oldest of it is never told.
-    pub(crate) fn take_pending(&mut self, most: usize) -> PendingUpdates {
-        let take = |waiting: &mut Vec<CacheEntry>| {
-            let too_old = waiting.len().saturating_sub(PENDING_MAX);
-            waiting.drain(..too_old);
-            let now = most.min(waiting.len());
-            waiting.drain(..now).collect()
+    /// Takes some pending entries of each kind and drops the oldest beyond the bound.
+    pub(crate) fn take_pending(&mut self, max_per_kind: usize) -> PendingUpdates {
+        let take = |pending: &mut Vec<CacheEntry>| {
+            let excess = pending.len().saturating_sub(MAX_PENDING);
+            pending.drain(..excess);
+            let count = max_per_kind.min(pending.len());
+            pending.drain(..count).collect()
         };
         PendingUpdates {
-            near: take(&mut self.pending.near),
-            far: take(&mut self.pending.far),
-            relayed: take(&mut self.pending.relayed),
+            local: take(&mut self.pending.local),
+            remote_zones: take(&mut self.pending.remote_zones),
+            same_zone: take(&mut self.pending.same_zone),
         }
     }
 
-    /// Drops what is no longer true, now and then.
     pub(crate) fn expire(&mut self, now_ms: u64) {
-        self.map.expire(now_ms);
+        self.directory.expire(now_ms);
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -227,7 +227,7 @@
         .config
         .peer_seeds
         .iter()
-        .any(|seed| *seed != peers.own);
+        .any(|seed| *seed != peers.local);
     if has_seeds
         && tokio::time::timeout(ISOLATION_TIMEOUT, wait_for_any_peer(&peers))
             .await
@@ -244,7 +244,7 @@
 }
 
 async fn wait_for_any_peer(peers: &PeerTable) {
-    while peers.any().is_none() {
+    while peers.any_up().is_none() {
         tokio::time::sleep(ISOLATION_CHECK_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/subscription.rs
+++ b/crates/gateway/src/subscription.rs
@@ -1,4 +1,4 @@
-//! Whether this host reads the platform, and how the platform answers it.
+//! This host's role as a store subscriber, and when the store last answered.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -13,80 +13,76 @@
 use crate::clock::ms;
 use crate::source::Topic;
 
-/// Of one topic.
 #[derive(Debug, Default)]
-struct OfTopic {
+struct TopicState {
     is_answered: AtomicBool,
-    again: Notify,
+    reread: Notify,
 }
 
-/// Pauses of this host that are remembered: of longer ones than most gaps between
-/// answers there is one.
-const PAUSES_KEPT: usize = 16;
+/// Enough for the gap between two answers, which one long suspension covers.
+const MAX_RETAINED_SUSPENSIONS: usize = 16;
 
-/// When this host stood still, oldest first: it heard of no answer then, whoever got
-/// one.
+/// Intervals in which this host was suspended and received no reports, oldest first.
 #[derive(Debug, Default)]
-struct OwnPauses(VecDeque<(Instant, Instant)>);
+struct Suspensions(VecDeque<(Instant, Instant)>);
 
-impl OwnPauses {
-    /// This host stood still until now.
-    fn add(&mut self, length: Duration, now: Instant) {
-        let from = now.checked_sub(length).unwrap_or(now);
+impl Suspensions {
+    /// Records a suspension that ends now.
+    fn add(&mut self, duration: Duration, now: Instant) {
+        let from = now.checked_sub(duration).unwrap_or(now);
         self.0.push_back((from, now));
-        if self.0.len() > PAUSES_KEPT {
+        if self.0.len() > MAX_RETAINED_SUSPENSIONS {
             self.0.pop_front();
         }
     }
 
-    /// All that is remembered is older by so much than the clock says.
+    /// Shifts all intervals back by time that the runtime's clock did not count.
     fn age(&mut self, by: Duration) {
         for at in self.0.iter_mut().flat_map(|(from, to)| [from, to]) {
             *at = at.checked_sub(by).unwrap_or(*at);
         }
     }
 
-    /// How much of the time between two instants this host stood still.
-    fn within(&self, from: Instant, to: Instant) -> Duration {
-        let overlap = |(began, ended): &(Instant, Instant)| {
-            to.min(*ended).saturating_duration_since(from.max(*began))
+    /// Total suspended time between two instants.
+    fn overlap(&self, from: Instant, to: Instant) -> Duration {
+        let duration = |(start, end): &(Instant, Instant)| {
+            to.min(*end).saturating_duration_since(from.max(*start))
         };
-        self.0.iter().map(overlap).sum()
+        self.0.iter().map(duration).sum()
     }
 }
 
-/// Whom the platform answered.
+/// The host that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnsweredHost {
-    /// This host.
     Local,
-    /// A host that told so itself.
+    /// A host that reported it directly.
     SameZone,
-    /// A host of another zone, as relays told.
+    /// A host of another zone, as reported by relays.
     RemoteZone,
 }
 
-/// When the platform last answered, by whom.
+/// When the store last answered, by host.
 #[derive(Clone, Copy, Debug)]
 struct AnsweredAt {
-    own: Option<Instant>,
-    near: Option<Instant>,
-    far: Option<Instant>,
+    local: Option<Instant>,
+    same_zone: Option<Instant>,
+    remote_zone: Option<Instant>,
     started: Instant,
 }
 
 impl AnsweredAt {
-    fn of(&mut self, whom: AnsweredHost) -> &mut Option<Instant> {
-        match whom {
-            AnsweredHost::Local => &mut self.own,
-            AnsweredHost::SameZone => &mut self.near,
-            AnsweredHost::RemoteZone => &mut self.far,
+    fn instant_mut(&mut self, host: AnsweredHost) -> &mut Option<Instant> {
+        match host {
+            AnsweredHost::Local => &mut self.local,
+            AnsweredHost::SameZone => &mut self.same_zone,
+            AnsweredHost::RemoteZone => &mut self.remote_zone,
         }
     }
 
-    /// Any host; if none was, when this host started.
-    fn any(&self) -> Instant {
-        let all = [self.own, self.near, self.far];
+    /// The latest answer to any host, or else this host's start.
+    fn latest(&self) -> Instant {
+        let all = [self.local, self.same_zone, self.remote_zone];
         let newest = all.into_iter().flatten().max();
         newest.unwrap_or(self.started)
     }
@@ -95,106 +91,103 @@
 /// Why a topic is read now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadReason {
-    /// It is this host's to read.
+    /// This host is a subscriber.
     Subscriber,
-    /// Others know what this host does not: the whole has to be read.
+    /// Peers know more than this host: a full read is needed.
     Reread,
-    /// No host was answered for long.
+    /// No host was answered within the staleness timeout.
     StaleView,
 }
 
-/// This host as a reader.
+/// This host's subscription to the store.
 #[derive(Debug)]
 pub(crate) struct StoreSubscription {
-    /// Whether it is this host's to read.
+    /// Whether this host is a subscriber.
     is_subscriber: watch::Sender<bool>,
-    /// Whether it would be where no one reads yet.
-    is_preferred_subscriber: watch::Sender<bool>,
-    /// Whether the hosts of the settings were asked for all they know.
-    are_seeds_asked: watch::Sender<bool>,
+    /// Whether this host would be a subscriber if there were none yet.
+    is_preferred: watch::Sender<bool>,
+    /// Whether the configured seeds were queried for their full state.
+    are_seeds_queried: watch::Sender<bool>,
     answered_at: watch::Sender<AnsweredAt>,
-    own_pauses: Mutex<OwnPauses>,
-    /// Grows when this host finds that no host was answered for long.
-    doubts: watch::Sender<u64>,
-    /// Hosts that share the reading.
+    suspensions: Mutex<Suspensions>,
+    /// Incremented when this host polls because its view is stale.
+    stale_polls: watch::Sender<u64>,
     subscriber_count: AtomicUsize,
-    /// All hosts that are known.
-    known_host_count: AtomicUsize,
-    /// Whether this host tells other zones of its own.
+    host_count: AtomicUsize,
+    /// Whether this host sends aggregates to other zones.
     is_relay: AtomicBool,
-    /// Whether readers of other zones come first.
+    /// Whether subscribers of other zones read first.
     is_standby: AtomicBool,
-    rules: OfTopic,
-    endpoints: OfTopic,
+    rules: TopicState,
+    endpoints: TopicState,
 }
 
 impl Default for StoreSubscription {
-    /// A host reads until it knows of others who do.
+    /// A host is a subscriber until it knows of others.
     fn default() -> Self {
         let answered_at = AnsweredAt {
-            own: None,
-            near: None,
-            far: None,
+            local: None,
+            same_zone: None,
+            remote_zone: None,
             started: Instant::now(),
         };
         Self {
             is_subscriber: watch::channel(true).0,
-            is_preferred_subscriber: watch::channel(false).0,
-            are_seeds_asked: watch::channel(false).0,
+            is_preferred: watch::channel(false).0,
+            are_seeds_queried: watch::channel(false).0,
             answered_at: watch::channel(answered_at).0,
-            own_pauses: Mutex::default(),
-            doubts: watch::channel(0).0,
+            suspensions: Mutex::default(),
+            stale_polls: watch::channel(0).0,
             subscriber_count: AtomicUsize::new(0),
-            known_host_count: AtomicUsize::new(1),
+            host_count: AtomicUsize::new(1),
             is_relay: AtomicBool::new(false),
             is_standby: AtomicBool::new(false),
-            rules: OfTopic::default(),
-            endpoints: OfTopic::default(),
+            rules: TopicState::default(),
+            endpoints: TopicState::default(),
         }
     }
 }
 
 impl StoreSubscription {
-    fn of(&self, topic: Topic) -> &OfTopic {
+    fn topic(&self, topic: Topic) -> &TopicState {
         match topic {
             Topic::Rules => &self.rules,
             Topic::Endpoints => &self.endpoints,
         }
     }
 
-    /// Says whether it is this host's to read. Returns whether that changed.
+    /// Sets whether this host is a subscriber. Returns whether that changed.
     pub(crate) fn set_subscriber(&self, is_subscriber: bool) -> bool {
-        self.is_subscriber.send_if_modified(|known| {
-            let is_news = *known != is_subscriber;
-            *known = is_subscriber;
-            is_news
+        self.is_subscriber.send_if_modified(|current| {
+            let has_changed = *current != is_subscriber;
+            *current = is_subscriber;
+            has_changed
         })
     }
 
-    /// Says whether it would be this host's to read where no one reads yet.
-    pub(crate) fn set_preferred(&self, is_preferred_subscriber: bool) {
-        self.is_preferred_subscriber
-            .send_replace(is_preferred_subscriber);
+    /// Sets whether this host would be a subscriber if there were none yet.
+    pub(crate) fn set_preferred(&self, is_preferred: bool) {
+        self.is_preferred.send_replace(is_preferred);
     }
 
-    /// Waits until it would be this host's to read where no one reads yet.
+    /// Waits until this host would be a subscriber if there were none yet.
     pub(crate) async fn wait_until_preferred(&self) {
-        let mut is_preferred_subscriber = self.is_preferred_subscriber.subscribe();
-        let _never_closed = is_preferred_subscriber.wait_for(|is_first| *is_first).await;
+        let mut is_preferred = self.is_preferred.subscribe();
+        let _never_closed = is_preferred.wait_for(|is_preferred| *is_preferred).await;
     }
 
-    /// The hosts of the settings were asked for all they know.
+    /// Records that the configured seeds were queried.
     pub(crate) fn mark_seeds_queried(&self) {
-        self.are_seeds_asked.send_replace(true);
+        self.are_seeds_queried.send_replace(true);
     }
 
-    /// Waits until the hosts of the settings were asked for all they know.
+    /// Waits until the configured seeds were queried.
     pub(crate) async fn wait_until_seeds_queried(&self) {
-        let mut are_asked = self.are_seeds_asked.subscribe();
-        let _never_closed = are_asked.wait_for(|are_asked| *are_asked).await;
+        let mut are_queried = self.are_seeds_queried.subscribe();
+        let _never_closed = are_queried.wait_for(|are_queried| *are_queried).await;
     }
 
-    /// Waits until it is this host's turn to read.
+    /// Waits until this host is a subscriber.
     pub(crate) async fn wait_until_subscriber(&self) {
         let mut is_subscriber = self.is_subscriber.subscribe();
         let _never_closed = is_subscriber.wait_for(|is_subscriber| *is_subscriber).await;
@@ -213,174 +206,170 @@
         }
     }
 
-    /// Waits until the topic has to be read whole again.
+    /// Waits until a full read of the topic is requested.
     pub(crate) async fn wait_for_reread(&self, topic: Topic) {
-        self.of(topic).again.notified().await;
+        self.topic(topic).reread.notified().await;
     }
 
-    /// All has to be read whole again: others know what this host does not.
+    /// Requests a full read of both topics.
     pub(crate) fn request_reread(&self) {
-        self.rules.again.notify_one();
-        self.endpoints.again.notify_one();
+        self.rules.reread.notify_one();
+        self.endpoints.reread.notify_one();
     }
 
-    /// The platform answered this host.
     pub(crate) fn record_answer(&self, topic: Topic) {
-        self.of(topic).is_answered.store(true, Ordering::Relaxed);
+        self.topic(topic).is_answered.store(true, Ordering::Relaxed);
     }
 
-    /// The platform did not answer.
     pub(crate) fn record_failure(&self, topic: Topic) {
-        self.of(topic).is_answered.store(false, Ordering::Relaxed);
+        self.topic(topic)
+            .is_answered
+            .store(false, Ordering::Relaxed);
     }
 
-    /// This host stood still for so long, of which the runtime's clock did not count
-    /// some: all that is remembered is older by that.
-    pub(crate) fn record_suspension(&self, length: Duration, uncounted: Duration) {
+    /// Records a suspension of this host, `uncounted` of which the runtime's clock missed.
+    pub(crate) fn record_suspension(&self, duration: Duration, uncounted: Duration) {
         self.age(uncounted);
-        let mut own_pauses = self.own_pauses();
-        own_pauses.age(uncounted);
-        own_pauses.add(length, Instant::now());
+        let mut suspensions = self.suspensions();
+        suspensions.age(uncounted);
+        suspensions.add(duration, Instant::now());
     }
 
-    fn own_pauses(&self) -> std::sync::MutexGuard<'_, OwnPauses> {
-        self.own_pauses
+    fn suspensions(&self) -> std::sync::MutexGuard<'_, Suspensions> {
+        self.suspensions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn age(&self, by: Duration) {
         self.answered_at.send_modify(|at| {
-            for answered_at in [&mut at.own, &mut at.near, &mut at.far] {
+            for answered_at in [&mut at.local, &mut at.same_zone, &mut at.remote_zone] {
                 *answered_at = answered_at.and_then(|at| at.checked_sub(by));
             }
         });
     }
 
-    /// How long ago the platform answered, as told to others; `Near` is this
-    /// host or one that told so itself.
-    pub(crate) fn answered_ago_ms(&self, whom: AnsweredHost) -> Option<u32> {
+    /// Time since the store last answered, as reported to peers; `SameZone` includes this host.
+    pub(crate) fn answered_ago_ms(&self, host: AnsweredHost) -> Option<u32> {
         let answered_at = *self.answered_at.borrow();
-        let at = match whom {
-            AnsweredHost::Local => answered_at.own,
-            AnsweredHost::SameZone => answered_at.own.max(answered_at.near),
-            AnsweredHost::RemoteZone => answered_at.far,
+        let at = match host {
+            AnsweredHost::Local => answered_at.local,
+            AnsweredHost::SameZone => answered_at.local.max(answered_at.same_zone),
+            AnsweredHost::RemoteZone => answered_at.remote_zone,
         };
         u32::try_from(at?.elapsed().as_millis()).ok()
     }
 
-    /// The platform answered someone so long ago. Returns how long before that
-    /// it last answered any host, but for the time in which this host could not hear of
-    /// that; zero if this is no newer answer.
-    pub(crate) fn record_peer_answer(&self, whom: AnsweredHost, ago_ms: Option<u32>) -> Duration {
+    /// Records an answer `ago_ms` ago. Returns the gap since the previous answer to any
+    /// host, excluding this host's suspensions; zero if the answer is not newer.
+    pub(crate) fn record_peer_answer(&self, host: AnsweredHost, ago_ms: Option<u32>) -> Duration {
         let ago = ago_ms.map(|ago_ms| ms(u64::from(ago_ms)));
         let Some(at) = ago.and_then(|ago| Instant::now().checked_sub(ago)) else {
             return Duration::ZERO;
         };
-        let before = self.answered_at.borrow().any();
+        let before = self.answered_at.borrow().latest();
         self.answered_at.send_if_modified(|answered_at| {
-            let known = answered_at.of(whom);
+            let known = answered_at.instant_mut(host);
             let is_newer = known.is_none_or(|known| at > known);
             if is_newer {
                 *known = Some(at);
             }
             is_newer
         });
-        let still = self.own_pauses().within(before, at);
-        at.saturating_duration_since(before).saturating_sub(still)
+        let suspended = self.suspensions().overlap(before, at);
+        at.saturating_duration_since(before)
+            .saturating_sub(suspended)
     }
 
-    /// Whether this host, as a relay, should tell at once of an answer that
-    /// came so long after the one before: other zones are about to doubt.
-    pub(crate) fn is_due_to_relay(&self, gained: Duration, times: &SubscriptionTimings) -> bool {
-        self.is_relay() && gained >= ms(times.staleness_timeout_ms / 2)
+    /// Whether a relay should report an answer at once, because after such a gap other
+    /// zones are about to poll.
+    pub(crate) fn should_relay_answer(&self, gap: Duration, times: &SubscriptionTimings) -> bool {
+        self.is_relay() && gap >= ms(times.staleness_timeout_ms / 2)
     }
 
-    /// Whether this host tells other zones of its own.
+    /// Whether this host sends aggregates to other zones.
     pub(crate) fn is_relay(&self) -> bool {
         self.is_relay.load(Ordering::Relaxed)
     }
 
-    /// Whether the platform answered any host since an instant.
+    /// Whether the store answered any host after an instant.
     pub(crate) fn answered_since(&self, since: Instant) -> bool {
-        self.answered_at.borrow().any() > since
+        self.answered_at.borrow().latest() > since
     }
 
-    /// Waits until the platform has answered any host since an instant.
+    /// Waits until the store has answered any host after an instant.
     pub(crate) async fn wait_answered_after(&self, since: Instant) {
         let mut answered_at = self.answered_at.subscribe();
-        let is_over = |answered_at: &AnsweredAt| answered_at.any() > since;
-        let _never_closed = answered_at.wait_for(is_over).await;
+        let is_newer = |answered_at: &AnsweredAt| answered_at.latest() > since;
+        let _never_closed = answered_at.wait_for(is_newer).await;
     }
 
-    /// So many hosts share the reading, of so many in all; whether this one
-    /// tells other zones of its own.
-    pub(crate) fn set_round(&self, sharing: usize, hosts_known: usize, is_relay: bool) {
-        self.subscriber_count.store(sharing, Ordering::Relaxed);
-        self.known_host_count.store(hosts_known, Ordering::Relaxed);
+    /// Sets the number of subscribers, the number of known hosts and whether this host is a
+    /// relay.
+    pub(crate) fn set_round(&self, subscriber_count: usize, host_count: usize, is_relay: bool) {
+        self.subscriber_count
+            .store(subscriber_count, Ordering::Relaxed);
+        self.host_count.store(host_count, Ordering::Relaxed);
         self.is_relay.store(is_relay, Ordering::Relaxed);
     }
 
-    /// Whether readers of other zones tell this host most changes first.
+    /// Whether this host normally receives changes from subscribers of other zones first.
     pub(crate) fn is_standby(&self) -> bool {
         self.is_standby.load(Ordering::Relaxed)
     }
 
-    /// Says whether readers of other zones come first.
+    /// Sets whether subscribers of other zones read first.
     pub(crate) fn set_standby(&self, is_standby: bool) {
         self.is_standby.store(is_standby, Ordering::Relaxed);
     }
 
-    /// Hosts that share the reading.
     pub(crate) fn subscriber_count(&self) -> usize {
         self.subscriber_count.load(Ordering::Relaxed)
     }
 
-    /// Whether this host is one of those that ask now that no host was answered
-    /// for long.
+    /// Whether this host polls while the view is stale; in a large fleet only a random
+    /// fraction does.
     fn polls_while_stale(&self) -> bool {
-        let hosts = self.known_host_count.load(Ordering::Relaxed);
-        self.is_subscriber() || rand::random::<f64>() < stale_poll_fraction(hosts)
+        let host_count = self.host_count.load(Ordering::Relaxed);
+        self.is_subscriber() || rand::random::<f64>() < stale_poll_fraction(host_count)
     }
 
-    /// Waits until the platform has answered no host for so long that this
-    /// one should ask whether it still does, on both topics: the first answer
-    /// ends the doubt for all, and a wait for the other topic may be lost. In a
-    /// large fleet each host draws, again and again, whether it asks.
+    /// Waits until the store has answered no host for so long that this one should poll it,
+    /// on both topics, since a wait for one topic may be lost. The first answer ends the
+    /// wait on all hosts. Hosts that are not selected draw again periodically.
     pub(crate) async fn wait_until_stale(&self, times: &SubscriptionTimings) {
-        // Readers ask first: mostly one of them has ended the doubt before
-        // the others ask.
+        // Subscribers poll first, which mostly spares the others.
         let half_ms = times.staleness_jitter_ms / 2;
-        let first_ms = if self.is_subscriber() { 0 } else { half_ms };
-        let delay_ms = first_ms + rand::rng().random_range(0..=half_ms);
-        let patience = ms(times.staleness_timeout_ms + delay_ms);
-        let draw_again = ms(times.staleness_jitter_ms.max(1));
+        let min_delay_ms = if self.is_subscriber() { 0 } else { half_ms };
+        let delay_ms = min_delay_ms + rand::rng().random_range(0..=half_ms);
+        let staleness_timeout = ms(times.staleness_timeout_ms + delay_ms);
+        let redraw_interval = ms(times.staleness_jitter_ms.max(1));
         let mut drawn_at = None;
-        let mut doubts = self.doubts.subscribe();
+        let mut stale_polls = self.stale_polls.subscribe();
         loop {
-            let doubtful = self.answered_at.borrow().any() + patience;
-            let due = doubtful.max(drawn_at.map_or(doubtful, |at| at + draw_again));
-            if Instant::now() >= due {
+            let stale_at = self.answered_at.borrow().latest() + staleness_timeout;
+            let due_at = stale_at.max(drawn_at.map_or(stale_at, |at| at + redraw_interval));
+            if Instant::now() >= due_at {
                 if self.polls_while_stale() {
-                    self.doubts.send_modify(|doubts| *doubts += 1);
+                    self.stale_polls.send_modify(|polls| *polls += 1);
                     return;
                 }
                 drawn_at = Some(Instant::now());
                 continue;
             }
             tokio::select! {
-                () = tokio::time::sleep_until(due) => {}
-                _never_closed = doubts.changed() => return,
+                () = tokio::time::sleep_until(due_at) => {}
+                _never_closed = stale_polls.changed() => return,
             }
         }
     }
 
-    /// How this host stands to the platform, as told to others.
+    /// This host's subscription role, as reported to peers.
     pub(crate) fn role(&self) -> SubscriptionRole {
         if !*self.is_subscriber.borrow() {
             return SubscriptionRole::No;
         }
-        let is_answered = |of: &OfTopic| of.is_answered.load(Ordering::Relaxed);
+        let is_answered = |state: &TopicState| state.is_answered.load(Ordering::Relaxed);
         if is_answered(&self.rules) && is_answered(&self.endpoints) {
             SubscriptionRole::Answered
         } else {
@@ -388,7 +377,7 @@
         }
     }
 
-    /// Whether it is this host's to read.
+    /// Whether this host is a subscriber.
     pub(crate) fn is_subscriber(&self) -> bool {
         *self.is_subscriber.borrow()
     }
