--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -200,7 +200,7 @@
             shared.upstream.return_unused(start, connection);
             return Err(AttemptFailure::new(AttemptOutcome::Withdrawn));
         }
-        let request = build_request(shared, call, choice, resume_after);
+        let request = endpoint_request(shared, call, choice, resume_after);
         let now_ms = shared.clock.now_ms();
         shared.fleet().health(start).sent(now_ms);
         match wait_for_head(shared, progress, start, &mut connection, request).await {
@@ -222,7 +222,7 @@
     shared.fleet().may_still_send(choice, now_ms)
 }
 
-fn build_request(
+fn endpoint_request(
     shared: &Shared,
     call: &Call,
     choice: &Choice,
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -112,13 +112,13 @@
         let now_ms = shared.clock.now_ms();
         let mut fleet = shared.fleet();
         let is_first = self.tried.is_empty() && self.call.head.resume_after.is_none();
-        let build_request = BuildWish {
+        let request = BuildWish {
             pool: &self.call.pool,
             route: &self.call.route.name,
             is_first,
             hosts: host_count(&fleet, now_ms),
         };
-        self.uses = fleet.rollouts.uses(&build_request, now_ms);
+        self.uses = fleet.rollouts.uses(&request, now_ms);
         let choice = fleet.place(&self.endpoint_query(), now_ms)?;
         let start = choice.member.hash.short();
         fleet.cold.sent(start, now_ms);
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,9 +1,9 @@
-//! Pool of connections to endpoints.
+//! Connections to endpoints, kept for reuse.
 //!
 //! If an endpoint closes an idle connection just as a request is sent, it is unknown
 //! whether the request ran. Connections are therefore reused only within a fraction of
 //! the endpoint's keep-alive timeout, and sooner for requests that must not be
-//! repeated. The pool uses hyper's connections directly, since clients such as reqwest
+//! repeated. This module uses hyper connections directly, since clients such as reqwest
 //! repeat requests on their own.
 
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 /// Idle timeout if the endpoint sends no keep-alive timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Longest idle time before a request that must not be repeated.
-const NON_REPEATABLE_IDLE_MAX: Duration = Duration::from_millis(1_500);
+const MAX_NON_REPEATABLE_IDLE: Duration = Duration::from_millis(1_500);
 /// Read-ahead of a stream with a slow caller, and largest response head. The library's
 /// default would exhaust memory with many slow callers.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
@@ -76,7 +76,7 @@
             let limit = if may_repeat {
                 last.idle_timeout
             } else {
-                last.idle_timeout.min(NON_REPEATABLE_IDLE_MAX)
+                last.idle_timeout.min(MAX_NON_REPEATABLE_IDLE)
             };
             let is_usable = last.since.elapsed() <= limit && last.connection.sender.is_ready();
             if is_usable {
@@ -86,7 +86,7 @@
         None
     }
 
-    /// Returns a connection to the pool after a complete response.
+    /// Keeps a connection for reuse after a complete response.
     pub(crate) fn keep(&self, start: u32, connection: Connection, keep_alive_s: Option<u64>) {
         let allowed = keep_alive_s.map(|s| Duration::from_secs(s).mul_f64(IDLE_TIMEOUT_FRACTION));
         let idle = IdleConnection {
