--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -56,12 +56,12 @@
 
 impl Body for CallerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
             CallerBody::Whole(body) => {
                 let chunk = body.next_chunk();
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,7 +14,7 @@
 use crate::answer::{BufferedResponseBody, CHUNK_BYTES};
 use crate::call::Call;
 use crate::edge::{AnswerHead, SendHead};
-use crate::fleet::Choice;
+use crate::fleet::SelectedEndpoint;
 use crate::progress::Progress;
 use crate::shared::{InFlightGuard, Shared};
 use crate::upstream::{Connection, SentBody, connect};
@@ -73,7 +73,7 @@
 pub(crate) async fn attempt(
     shared: &Arc<Shared>,
     progress: &mut Progress,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Result<AttemptResponse, AttemptFailure> {
     let call = &*progress.call().clone();
@@ -127,7 +127,7 @@
 async fn receive_head(
     shared: &Arc<Shared>,
     progress: &mut Progress,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Result<(Connection, http::response::Parts, Incoming, AnswerHead), AttemptFailure> {
     let (connection, response) = send(shared, progress, choice, resume_after).await?;
@@ -179,7 +179,7 @@
 async fn send(
     shared: &Arc<Shared>,
     progress: &Progress,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Result<(Connection, Response<Incoming>), AttemptFailure> {
     let call = &**progress.call();
@@ -225,7 +225,7 @@
 fn endpoint_request(
     shared: &Shared,
     call: &Call,
-    choice: &Choice,
+    choice: &SelectedEndpoint,
     resume_after: Option<u64>,
 ) -> Request<SentBody> {
     let endpoint = &choice.member.endpoint;
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -172,7 +172,7 @@
     let drawn = route.pool_of(draw)?;
     let fleet = shared.fleet();
     let now_ms = shared.clock.now_ms();
-    let is_live = |pool: &PoolId| fleet.takes_requests(pool, now_ms);
+    let is_live = |pool: &PoolId| fleet.accepts_requests(pool, now_ms);
     if is_live(drawn) {
         return Some(drawn.clone());
     }
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-use crate::answer::{BrokenOff, CallerBody};
+use crate::answer::{AnswerAborted, CallerBody};
 
 /// Whether a connection waits for a request or serves one.
 #[derive(Debug, Default)]
@@ -39,15 +39,15 @@
     pub(crate) fn serve(self: &Arc<Self>) -> Serving {
         self.received_heads.fetch_add(1, Ordering::Relaxed);
         self.is_serving.store(true, Ordering::Relaxed);
-        Serving(self.clone())
+        ServingGuard(self.clone())
     }
 }
 
 /// Marks a connection as serving a request until dropped.
 #[derive(Debug)]
-pub(crate) struct Serving(Arc<Turn>);
+pub(crate) struct ServingGuard(Arc<ConnectionState>);
 
-impl Drop for Serving {
+impl Drop for ServingGuard {
     fn drop(&mut self) {
         self.0.is_serving.store(false, Ordering::Relaxed);
     }
@@ -56,17 +56,17 @@
 /// A response body that keeps its connection marked as serving.
 pub(crate) struct ServedBody {
     pub(crate) body: CallerBody,
-    pub(crate) _serving: Serving,
+    pub(crate) _serving: ServingGuard,
 }
 
 impl Body for ServedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
--- a/crates/gateway/src/end_checks.rs
+++ b/crates/gateway/src/end_checks.rs
@@ -36,7 +36,7 @@
 
 /// Running checks and recent terminations.
 #[derive(Debug, Default)]
-pub(crate) struct EndChecks {
+pub(crate) struct TerminationChecks {
     by_start: Mutex<HashMap<u32, Check>>,
 }
 
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -5,17 +5,17 @@
 
 use chalkrock_core::{Endpoint, Outcome, Reason};
 use chalkrock_routing::{
-    AdmissionRequest, AnswerSeen, AttemptOutcome, BuildUse, BuildWish, HealthSignal, Next,
+    AdmissionRequest, AttemptOutcome, BuildRequest, BuildUse, HealthSignal, Next, ObservedResponse,
     Repeatable, admits, next_step,
 };
 use rand::RngExt;
 
 use crate::call::Call;
-use crate::edge::{AnswerHead, AskedBackoff, Refusal};
+use crate::edge::{AnswerHead, Refusal, RequestedBackoff};
 use crate::event_log::{AttemptRecord, Event};
-use crate::fleet::{Choice, Fleet, Wanted};
+use crate::fleet::{EndpointQuery, Fleet, SelectedEndpoint};
 use crate::poison::BrokenAttempt;
-use crate::shared::{OfOrganisation, Shared};
+use crate::shared::{OrganisationGuard, Shared};
 
 /// The attempts of one request.
 pub(crate) struct Progress {
@@ -42,7 +42,7 @@
     /// Tracks a new request. The retry budget counts it once, however often it is sent.
     pub(crate) fn new(shared: Arc<Shared>, call: Arc<Call>) -> Self {
         let now_ms = shared.clock.now_ms();
-        shared.fleet().budget(&call.pool).request(now_ms);
+        shared.fleet().budget(&call.pool).record_request(now_ms);
         let organisation = call.organisation();
         Self {
             _organisation_guard: organisation.map(|name| OfOrganisation::begin(&shared, name)),
@@ -84,7 +84,7 @@
         let detail = format!(
             "{} requests in progress on {} slots, {:.0} ms each; expected wait {:.0} ms",
             occupancy.in_progress,
-            occupancy.places,
+            occupancy.slots,
             occupancy.service_ms,
             occupancy.wait_ms()
         );
@@ -121,8 +121,8 @@
         self.uses = fleet.rollouts.uses(&request, now_ms);
         let choice = fleet.place(&self.endpoint_query(), now_ms)?;
         let start = choice.member.hash.short();
-        fleet.cold.sent(start, now_ms);
-        fleet.backoffs.sent(start, now_ms);
+        fleet.cold.record_sent(start, now_ms);
+        fleet.backoffs.record_sent(start, now_ms);
         Some(choice)
     }
 
@@ -179,7 +179,9 @@
         let end = broken.end;
         if let Some(endpoint) = &self.last_endpoint {
             let request = self.call.fingerprint;
-            self.shared.attempt_broke(request, endpoint, broken).await;
+            self.shared
+                .record_broken_attempt(request, endpoint, broken)
+                .await;
         }
         if let Some(record) = self.attempts.last_mut() {
             record.end = Some(end);
@@ -236,8 +238,10 @@
         }
         // A cold endpoint is slow regardless of its build.
         let seen = match seen {
-            AnswerSeen::Began { .. } if attempt.is_cold => return,
-            AnswerSeen::Ended { .. } if attempt.is_cold => AnswerSeen::Ended { pace_ms: None },
+            ObservedResponse::Began { .. } if attempt.is_cold => return,
+            ObservedResponse::Ended { .. } if attempt.is_cold => {
+                ObservedResponse::Ended { pace_ms: None }
+            }
             seen => seen,
         };
         let Call { pool, route, .. } = &*self.call;
@@ -300,7 +304,7 @@
     fn pool_has_capacity(&self) -> bool {
         let now_ms = self.shared.clock.now_ms();
         let occupancy = self.shared.fleet().occupancy(&self.call.pool, now_ms);
-        occupancy.in_progress < occupancy.places
+        occupancy.in_progress < occupancy.slots
     }
 
     /// The refusal if every endpoint of the pool backs off. Callers return after the
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -23,7 +23,7 @@
 use crate::event_log::Event;
 use crate::poison::BrokenAttempt;
 use crate::progress::Progress;
-use crate::shared::{Running, Shared};
+use crate::shared::{RunningGuard, Shared};
 
 /// How often a silent stream is checked.
 const HEALTH_RECHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -71,7 +71,7 @@
         shared: Arc<Shared>,
         progress: Progress,
         stream: Box<OpenStream>,
-        running: Running,
+        running: RunningGuard,
     ) -> Self {
         let call = progress.call().clone();
         Self {
@@ -266,7 +266,7 @@
             reason: Some(reason),
             detail: String::new(),
         });
-        Err(BrokenOff)
+        Err(AnswerAborted)
     }
 
     fn record_completion(&mut self, completion: Completion) {
