--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -17,10 +17,10 @@
 /// that a partial body does not look complete.
 #[derive(Debug, thiserror::Error)]
 #[error("the response was aborted")]
-pub(crate) struct BrokenOff;
+pub(crate) struct AnswerAborted;
 
 /// Events of a stream for the caller.
-pub(crate) type Events = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>> + Send>>;
+pub(crate) type Events = Pin<Box<dyn Stream<Item = Result<Bytes, AnswerAborted>> + Send>>;
 
 /// Largest chunk passed to a connection at once. A connection buffers that much for a
 /// slow caller; the remainder counts against the response byte budget.
--- a/crates/gateway/src/arrival.rs
+++ b/crates/gateway/src/arrival.rs
@@ -25,11 +25,11 @@
 
 /// Limits on the time without received bytes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
+pub(crate) struct IdleLimits {
     /// Limit until the first byte.
-    pub(crate) first: Duration,
+    pub(crate) first_byte: Duration,
     /// Limit between later bytes.
-    pub(crate) stall: Duration,
+    pub(crate) between_bytes: Duration,
 }
 
 /// Waits for a response while the count that `bytes` returns grows. Returns `None` if
@@ -37,11 +37,11 @@
 pub(crate) async fn while_arriving<T>(
     response: impl Future<Output = T>,
     bytes: impl Fn() -> u64,
-    limits: Patience,
+    limits: IdleLimits,
 ) -> Option<T> {
     let mut response = pin!(response);
     let mut previous_bytes = bytes();
-    let mut timeout = limits.first;
+    let mut timeout = limits.first_byte;
     loop {
         tokio::select! {
             response = &mut response => return Some(response),
@@ -52,6 +52,6 @@
             return None;
         }
         previous_bytes = current_bytes;
-        timeout = limits.stall;
+        timeout = limits.between_bytes;
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -43,11 +43,9 @@
     /// Counts the stream as in flight.
     pub(crate) _in_flight: InFlightGuard,
     pub(crate) answer: AnswerHead,
-    /// When the request was sent.
     pub(crate) sent_at: Instant,
 }
 
-/// The response of an endpoint.
 pub(crate) enum AttemptResponse {
     Buffered(BufferedResponse),
     Stream(Box<OpenStream>),
@@ -85,7 +83,7 @@
         Ok(answered) => answered,
         Err(failure) => {
             if failure.end.outcome() == Outcome::NotRun {
-                in_flight.turned_away();
+                in_flight.mark_rejected();
             }
             return Err(failure);
         }
@@ -94,7 +92,7 @@
     if is_stream {
         let now_ms = shared.clock.now_ms();
         let mut fleet = shared.fleet();
-        fleet.prefixes.note(&call.shared_parts, start, now_ms);
+        fleet.prefixes.record(&call.shared_parts, start, now_ms);
         drop(fleet);
         return Ok(AttemptResponse::Stream(Box::new(OpenStream {
             head,
@@ -108,9 +106,11 @@
     }
     progress.record_first_byte(started_at.elapsed());
     let buffered = buffer_response(shared, call, head, body).await?;
-    shared.ran_well(call.fingerprint);
+    shared.record_completed_run(call.fingerprint);
     if !answer.closes {
-        shared.upstream.keep(start, connection, answer.keep_alive_s);
+        shared
+            .upstream
+            .check_in(start, connection, answer.keep_alive_s);
     }
     if buffered.head.status.is_server_error() {
         return Err(server_failure(call, buffered));
@@ -136,7 +136,7 @@
     // Recorded before the head is validated: the state that an endpoint reports also
     // holds when the request fails.
     let id = progress.call().head.id.as_ref();
-    shared.endpoint_answered(&choice.member, &answer, id);
+    shared.record_endpoint_answer(&choice.member, &answer, id);
     progress.record_head(&answer);
     match invalid_head(progress.call(), &head, &answer) {
         Some(end) => Err(AttemptFailure::new(end)),
@@ -187,7 +187,7 @@
     let start = choice.member.hash.short();
     let endpoint = &choice.member.endpoint;
     loop {
-        let idle = shared.upstream.take(start, may_repeat);
+        let idle = shared.upstream.checkout(start, may_repeat);
         let mut connection = match idle {
             Some(connection) => connection,
             None => {
@@ -202,11 +202,11 @@
         }
         let request = endpoint_request(shared, call, choice, resume_after);
         let now_ms = shared.clock.now_ms();
-        shared.fleet().health(start).sent(now_ms);
+        shared.fleet().health(start).record_sent(now_ms);
         match wait_for_head(shared, progress, start, &mut connection, request).await {
             Ok(response) => {
                 let now_ms = shared.clock.now_ms();
-                shared.fleet().health(start).heard(now_ms);
+                shared.fleet().health(start).record_received(now_ms);
                 return Ok((connection, response));
             }
             Err(AttemptOutcome::NotSent) if connection.is_reused => {}
@@ -217,7 +217,7 @@
 
 /// Whether the chosen endpoint is still eligible. While the connection was opened, its
 /// zone may have been evacuated, or it may have turned cold or begun to leave.
-fn may_still_send(shared: &Shared, choice: &Choice) -> bool {
+fn may_still_send(shared: &Shared, choice: &SelectedEndpoint) -> bool {
     let now_ms = shared.clock.now_ms();
     shared.fleet().may_still_send(choice, now_ms)
 }
@@ -264,7 +264,7 @@
             .min(Instant::now() + HEALTH_RECHECK_INTERVAL);
         let answered = tokio::select! {
             answered = tokio::time::timeout_at(recheck_at, &mut answer) => answered,
-            () = shared.becomes_poison(call.fingerprint) => return Err(AttemptOutcome::Recalled),
+            () = shared.wait_until_poison(call.fingerprint) => return Err(AttemptOutcome::Recalled),
         };
         match answered {
             Ok(Ok(response)) => return Ok(response),
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -169,7 +169,7 @@
 /// Returns the drawn pool of the route, or another one with a live endpoint if the
 /// drawn one has none.
 fn choose_pool(shared: &Shared, route: &Route, draw: u64) -> Option<PoolId> {
-    let drawn = route.pool_of(draw)?;
+    let drawn = route.pool_for(draw)?;
     let fleet = shared.fleet();
     let now_ms = shared.clock.now_ms();
     let is_live = |pool: &PoolId| fleet.accepts_requests(pool, now_ms);
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -21,7 +21,7 @@
 
 /// Whether a connection waits for a request or serves one.
 #[derive(Debug, Default)]
-pub(crate) struct Turn {
+pub(crate) struct ConnectionState {
     /// Request heads received.
     received_heads: AtomicU64,
     /// Whether a response is still due.
@@ -29,14 +29,14 @@
     head_timed_out: AtomicBool,
 }
 
-impl Turn {
+impl ConnectionState {
     /// Whether the connection was closed because a head took too long.
     pub(crate) fn head_timed_out(&self) -> bool {
         self.head_timed_out.load(Ordering::Relaxed)
     }
 
     /// Records a received head. Its response is due until the guard is dropped.
-    pub(crate) fn serve(self: &Arc<Self>) -> Serving {
+    pub(crate) fn begin_serving(self: &Arc<Self>) -> ServingGuard {
         self.received_heads.fetch_add(1, Ordering::Relaxed);
         self.is_serving.store(true, Ordering::Relaxed);
         ServingGuard(self.clone())
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerStream {
     stream: TcpStream,
-    state: Arc<Turn>,
+    state: Arc<ConnectionState>,
     head_timeout: Duration,
     /// The head in progress: its number and when its first byte arrived.
     head_started: Option<(u64, Instant)>,
@@ -97,7 +97,7 @@
 impl CallerStream {
     pub(crate) fn new(
         stream: TcpStream,
-        state: Arc<Turn>,
+        state: Arc<ConnectionState>,
         head_timeout: Duration,
         write_timeout: Duration,
     ) -> Self {
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -72,12 +72,12 @@
     /// Whether the endpoint reports that it is leaving.
     pub is_leaving: bool,
     /// The backoff that the endpoint requests from this host.
-    pub backoff: AskedBackoff,
+    pub backoff: RequestedBackoff,
 }
 
 /// The backoff that a refusing endpoint requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum AskedBackoff {
+pub enum RequestedBackoff {
     /// No backoff.
     #[default]
     None,
--- a/crates/gateway/src/end_checks.rs
+++ b/crates/gateway/src/end_checks.rs
@@ -34,16 +34,16 @@
 
 type Check = Arc<OnceCell<CheckResult>>;
 
-/// Running checks and recent terminations.
+/// RunningGuard checks and recent terminations.
 #[derive(Debug, Default)]
 pub(crate) struct TerminationChecks {
     by_start: Mutex<HashMap<u32, Check>>,
 }
 
-impl EndChecks {
+impl TerminationChecks {
     /// Whether the endpoint with this start hash has terminated. Concurrent checks share
     /// one connection.
-    pub(crate) async fn has_ended(&self, start: u32, address: SocketAddr) -> bool {
+    pub(crate) async fn has_terminated(&self, start: u32, address: SocketAddr) -> bool {
         let check = self.check_for(start);
         check.get_or_init(|| probe(address)).await.has_terminated
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -19,7 +19,7 @@
 use crate::answer::CallerBody;
 use crate::attempt::{AttemptResponse, BufferedResponse};
 use crate::call::prepare_call;
-use crate::caller_stream::{CallerStream, ServedBody, Turn};
+use crate::caller_stream::{CallerStream, ConnectionState, ServedBody};
 use crate::dispatch::dispatch;
 use crate::edge::{Refusal, remove_connection_headers};
 use crate::event_log::Event;
@@ -57,13 +57,13 @@
     let limits = shared
         .rules()
         .map_or_else(CallerLimits::default, |rules| *rules.limits());
-    let state = Arc::new(Turn::default());
+    let state = Arc::new(ConnectionState::default());
     let head_timeout = Duration::from_millis(limits.head_timeout_ms);
     let unread_timeout = Duration::from_millis(limits.idle_timeout_ms);
     let stream = CallerStream::new(stream, state.clone(), head_timeout, unread_timeout);
     let service = service_fn(|request| {
         let shared = shared.clone();
-        let serving = state.serve();
+        let serving = state.begin_serving();
         async move {
             let response = serve(shared, request).await;
             Ok::<_, Infallible>(response.map(|body| ServedBody {
@@ -82,7 +82,7 @@
     );
     let is_closed = tokio::select! {
         _callers_may_disconnect = connection.as_mut() => true,
-        () = shared.stop_reached(DrainPhase::Drains) => false,
+        () = shared.wait_for_stop_phase(DrainPhase::Drains) => false,
     };
     if !is_closed {
         connection.as_mut().graceful_shutdown();
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -29,7 +29,7 @@
     worst_outcome: Outcome,
     attempts: Vec<AttemptRecord>,
     /// Counts the request towards its organisation's share.
-    _organisation_guard: Option<OfOrganisation>,
+    _organisation_guard: Option<OrganisationGuard>,
     /// Start of the last attempt, on the shared clock.
     sent_at_ms: u64,
     /// Endpoint of the last attempt.
@@ -45,7 +45,7 @@
         shared.fleet().budget(&call.pool).record_request(now_ms);
         let organisation = call.organisation();
         Self {
-            _organisation_guard: organisation.map(|name| OfOrganisation::begin(&shared, name)),
+            _organisation_guard: organisation.map(|name| OrganisationGuard::begin(&shared, name)),
             shared,
             call,
             tried: Vec::new(),
@@ -107,18 +107,18 @@
     }
 
     /// Chooses the endpoint for the next attempt among those not tried yet.
-    pub(crate) fn choose_endpoint(&mut self) -> Option<Choice> {
+    pub(crate) fn choose_endpoint(&mut self) -> Option<SelectedEndpoint> {
         let shared = self.shared.clone();
         let now_ms = shared.clock.now_ms();
         let mut fleet = shared.fleet();
         let is_first = self.tried.is_empty() && self.call.head.resume_after.is_none();
-        let request = BuildWish {
+        let request = BuildRequest {
             pool: &self.call.pool,
             route: &self.call.route.name,
             is_first,
             hosts: host_count(&fleet, now_ms),
         };
-        self.uses = fleet.rollouts.uses(&request, now_ms);
+        self.uses = fleet.rollouts.build_uses(&request, now_ms);
         let choice = fleet.place(&self.endpoint_query(), now_ms)?;
         let start = choice.member.hash.short();
         fleet.cold.record_sent(start, now_ms);
@@ -126,8 +126,8 @@
         Some(choice)
     }
 
-    fn endpoint_query(&self) -> Wanted<'_> {
-        Wanted {
+    fn endpoint_query(&self) -> EndpointQuery<'_> {
+        EndpointQuery {
             pool: &self.call.pool,
             shared_parts: &self.call.shared_parts,
             tried: &self.tried,
@@ -144,7 +144,7 @@
     }
 
     /// Records the start of an attempt.
-    pub(crate) fn begin(&mut self, choice: &Choice) {
+    pub(crate) fn begin(&mut self, choice: &SelectedEndpoint) {
         self.sent_at_ms = self.shared.clock.now_ms();
         self.tried.push(choice.member.hash.short());
         self.last_endpoint = Some(choice.member.endpoint.clone());
@@ -168,7 +168,7 @@
             return;
         };
         record.says_leaving = answer.is_leaving;
-        if let AskedBackoff::ForMs(backoff_ms) = answer.backoff {
+        if let RequestedBackoff::ForMs(backoff_ms) = answer.backoff {
             record.backoff_ms = Some(backoff_ms);
         }
     }
@@ -188,7 +188,7 @@
         }
         self.record_health(end);
         if end.is_failure() {
-            self.count_response(AnswerSeen::Failed);
+            self.count_response(ObservedResponse::Failed);
         }
         if end == AttemptOutcome::NotTheEndpoint {
             self.mark_endpoint_gone();
@@ -214,7 +214,7 @@
     pub(crate) fn record_first_byte(&self, first_byte_delay: Duration) {
         let holds_prefix = self.attempts.last().is_some_and(|last| last.holds_prefix);
         let has_no_prefix = self.call.shared_parts.is_empty();
-        self.count_response(AnswerSeen::Began {
+        self.count_response(ObservedResponse::Began {
             first_byte_ms: to_ms(first_byte_delay),
             holds_prefix: holds_prefix || has_no_prefix,
         });
@@ -224,11 +224,11 @@
     /// of the whole call.
     pub(crate) fn record_response_end(&self, event_interval: Option<Duration>) {
         let pace_ms = event_interval.map(to_ms);
-        self.count_response(AnswerSeen::Ended { pace_ms });
+        self.count_response(ObservedResponse::Ended { pace_ms });
     }
 
     /// Counts the response of the last attempt for a rollout of its pool.
-    fn count_response(&self, seen: AnswerSeen) {
+    fn count_response(&self, seen: ObservedResponse) {
         let (Some(endpoint), Some(attempt)) = (&self.last_endpoint, self.attempts.last()) else {
             return;
         };
@@ -260,7 +260,7 @@
             return false;
         }
         let hosts = host_count(&fleet, now_ms);
-        fleet.budget(&self.call.pool).has_left(now_ms, hosts)
+        fleet.budget(&self.call.pool).has_remaining(now_ms, hosts)
     }
 
     /// The refusal of a request without time for another attempt.
@@ -315,7 +315,7 @@
         let remaining_ms = self
             .shared
             .fleet()
-            .backs_off_for_ms(&self.call.pool, now_ms)?;
+            .backoff_remaining_ms(&self.call.pool, now_ms)?;
         let detail =
             format!("all endpoints back off; the first accepts requests in {remaining_ms} ms");
         Some(Refusal {
@@ -372,7 +372,7 @@
         let now_ms = self.shared.clock.now_ms();
         let mut fleet = self.shared.fleet();
         let hosts = host_count(&fleet, now_ms);
-        fleet.budget(&self.call.pool).take(now_ms, hosts)
+        fleet.budget(&self.call.pool).try_spend(now_ms, hosts)
     }
 }
 
@@ -384,5 +384,5 @@
 
 /// Number of hosts that share the fixed part of the retry budget.
 fn host_count(fleet: &Fleet, now_ms: u64) -> usize {
-    1 + fleet.load.hosts_heard(now_ms)
+    1 + fleet.load.recent_host_count(now_ms)
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::access_log::{Completion, record, record_disconnect};
-use crate::answer::{BrokenOff, Events};
+use crate::answer::{AnswerAborted, Events};
 use crate::attempt::{AttemptResponse, OpenStream};
 use crate::call::Call;
 use crate::dispatch::dispatch;
@@ -55,7 +55,6 @@
     received_at: Instant,
     /// When the endpoint's first bytes arrived.
     first_byte_at: Option<Instant>,
-    /// Chunks received from the endpoint.
     chunk_count: u32,
     /// When the last chunk was relayed.
     relayed_at: Instant,
@@ -63,7 +62,7 @@
     was_unread: bool,
     status: u16,
     has_ended: bool,
-    _running: Running,
+    _running: RunningGuard,
 }
 
 impl StreamRelay {
@@ -104,7 +103,7 @@
         }))
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, AnswerAborted>> {
         self.was_unread |= self.relayed_at.elapsed() >= UNREAD_TIMEOUT;
         while !self.has_ended {
             match self.receive().await {
@@ -115,7 +114,7 @@
                         return Some(Ok(bytes));
                     }
                 }
-                Received::End if self.frames.rest().is_empty() => {
+                Received::End if self.frames.remaining().is_empty() => {
                     self.complete();
                     return None;
                 }
@@ -150,7 +149,10 @@
                     self.chunk_count += 1;
                     if let Ok(bytes) = frame.into_data() {
                         let now_ms = self.shared.clock.now_ms();
-                        self.shared.fleet().health(stream.start).heard(now_ms);
+                        self.shared
+                            .fleet()
+                            .health(stream.start)
+                            .record_received(now_ms);
                         return Received::Bytes(bytes);
                     }
                 }
@@ -191,7 +193,7 @@
             return false;
         };
         drop(failed_stream);
-        let _partial_event = self.frames.take_rest();
+        let _partial_event = self.frames.take_remaining();
         self.chunk_count = 0;
         let run_time = self.first_byte_at.take().map(|at| at.elapsed());
         let end = if std::mem::take(&mut self.was_unread) {
@@ -229,7 +231,7 @@
         let Some(stream) = self.stream.take() else {
             return;
         };
-        self.shared.ran_well(self.call.fingerprint);
+        self.shared.record_completed_run(self.call.fingerprint);
         self.progress.record_response_end(self.chunk_interval());
         let now_ms = self.shared.clock.now_ms();
         self.shared
@@ -244,7 +246,7 @@
         if !answer.closes {
             self.shared
                 .upstream
-                .keep(start, connection, answer.keep_alive_s);
+                .check_in(start, connection, answer.keep_alive_s);
         }
         self.record_completion(Completion::answered(self.status));
     }
@@ -257,7 +259,7 @@
         has_enough.then(|| run_time / (self.chunk_count - 1))
     }
 
-    fn abort(&mut self, reason: Reason) -> Result<Bytes, BrokenOff> {
+    fn abort(&mut self, reason: Reason) -> Result<Bytes, AnswerAborted> {
         self.has_ended = true;
         self.stream = None;
         self.record_completion(Completion {
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -69,7 +69,7 @@
 
 impl Upstream {
     /// Takes the most recently used idle connection that is still usable.
-    pub(crate) fn take(&self, start: u32, may_repeat: bool) -> Option<Connection> {
+    pub(crate) fn checkout(&self, start: u32, may_repeat: bool) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let endpoint_idle = idle.get_mut(&start)?;
         while let Some(last) = endpoint_idle.pop() {
@@ -87,7 +87,7 @@
     }
 
     /// Keeps a connection for reuse after a complete response.
-    pub(crate) fn keep(&self, start: u32, connection: Connection, keep_alive_s: Option<u64>) {
+    pub(crate) fn check_in(&self, start: u32, connection: Connection, keep_alive_s: Option<u64>) {
         let allowed = keep_alive_s.map(|s| Duration::from_secs(s).mul_f64(IDLE_TIMEOUT_FRACTION));
         let idle = IdleConnection {
             connection: Connection {
@@ -109,7 +109,7 @@
     /// keep-alive timeout is not known yet.
     pub(crate) fn return_unused(&self, start: u32, connection: Connection) {
         if connection.is_reused {
-            self.keep(start, connection, None);
+            self.check_in(start, connection, None);
         }
     }
 
