--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,10 +14,10 @@
 use crate::answer::{BufferedResponseBody, CHUNK_BYTES};
 use crate::call::Call;
 use crate::edge::{AnswerHead, SendHead};
+use crate::endpoint_connections::{Connection, SentBody, connect};
 use crate::fleet::SelectedEndpoint;
 use crate::progress::Progress;
 use crate::shared::{InFlightGuard, Shared};
-use crate::upstream::{Connection, SentBody, connect};
 
 /// Largest response that is buffered.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
@@ -109,7 +109,7 @@
     shared.record_completed_run(call.fingerprint);
     if !answer.closes {
         shared
-            .upstream
+            .idle_connections
             .check_in(start, connection, answer.keep_alive_s);
     }
     if buffered.head.status.is_server_error() {
@@ -187,7 +187,7 @@
     let start = choice.member.hash.short();
     let endpoint = &choice.member.endpoint;
     loop {
-        let idle = shared.upstream.checkout(start, may_repeat);
+        let idle = shared.idle_connections.checkout(start, may_repeat);
         let mut connection = match idle {
             Some(connection) => connection,
             None => {
@@ -197,7 +197,7 @@
             }
         };
         if !may_still_send(shared, choice) {
-            shared.upstream.return_unused(start, connection);
+            shared.idle_connections.return_unused(start, connection);
             return Err(AttemptFailure::new(AttemptOutcome::Withdrawn));
         }
         let request = endpoint_request(shared, call, choice, resume_after);
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/endpoint_connections.rs
@@ -63,11 +63,11 @@
 
 /// Idle connections, by the hash of the endpoint's start.
 #[derive(Debug, Default)]
-pub(crate) struct Upstream {
+pub(crate) struct IdleConnections {
     idle: Mutex<HashMap<u32, Vec<IdleConnection>>>,
 }
 
-impl Upstream {
+impl IdleConnections {
     /// Takes the most recently used idle connection that is still usable.
     pub(crate) fn checkout(&self, start: u32, may_repeat: bool) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -120,13 +120,13 @@
     }
 
     /// Closes all idle connections, for example because they may have expired.
-    pub(crate) fn close_kept(&self) {
+    pub(crate) fn close_all(&self) {
         let mut all_idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         all_idle.clear();
     }
 
     /// Closes expired idle connections.
-    pub(crate) fn sweep(&self) {
+    pub(crate) fn close_expired(&self) {
         let mut all_idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         for idle in all_idle.values_mut() {
             idle.retain(|idle| idle.since.elapsed() <= idle.idle_timeout);
--- a/crates/gateway/src/endpoint_reports.rs
+++ b/crates/gateway/src/endpoint_reports.rs
@@ -42,7 +42,7 @@
     /// The other hosts are told with the next round.
     fn endpoint_leaves(&self, member: &PoolMember, id: Option<&RequestId>) {
         let start = member.hash.short();
-        self.upstream.close(start);
+        self.idle_connections.close(start);
         if self.mark_leaving(&[start], "answer", id) {
             self.metrics.count("leaving_heard_in_answers_total", "", 1);
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! The way of a request runs one way through the modules: `front` (sockets),
 //! `call` (what is asked), `progress` (what may be done for it), `dispatch` and
-//! `attempt` (sending it), `upstream` (connections), `relay` (streams).
+//! `attempt` (sending it), `endpoint_connections`, `relay` (streams).
 //!
 //! # Example
 //!
@@ -39,6 +39,7 @@
 mod dispatch;
 mod edge;
 mod end_checks;
+mod endpoint_connections;
 mod endpoint_reports;
 mod event_log;
 mod fleet;
@@ -60,7 +61,6 @@
 mod status;
 mod subscription;
 mod suspension;
-mod upstream;
 
 pub use arrival::Arrival;
 pub use config::{GatewayConfig, GatewayConfigBuilder};
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -278,7 +278,7 @@
 async fn sweep(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(SWEEP_EVERY).await;
-        shared.upstream.sweep();
+        shared.idle_connections.close_expired();
     }
 }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -20,6 +20,7 @@
 use crate::config::GatewayConfig;
 use crate::edge::Edge;
 use crate::end_checks::TerminationChecks;
+use crate::endpoint_connections::IdleConnections;
 use crate::event_log::{Event, EventLog};
 use crate::fleet::Fleet;
 use crate::lag::SchedulerLag;
@@ -28,7 +29,6 @@
 use crate::source::Topic;
 use crate::subscription::{AnsweredHost, StoreSubscription};
 use crate::suspension::SuspensionMonitor;
-use crate::upstream::Upstream;
 
 /// Time within which a host that does not know rules and endpoints yet, or no longer,
 /// lets requests wait for them. Mostly it knows them within a tenth of a second, long
@@ -45,7 +45,7 @@
     pub(crate) edge: Box<dyn Edge>,
     pub(crate) event_log: EventLog,
     pub(crate) metrics: Metrics,
-    pub(crate) upstream: Upstream,
+    pub(crate) idle_connections: IdleConnections,
     pub(crate) end_checks: TerminationChecks,
     pub(crate) poison_records: PoisonRecords,
     pub(crate) skipped_rows: SkippedRows,
@@ -95,7 +95,7 @@
             edge,
             event_log,
             metrics: Metrics::default(),
-            upstream: Upstream::default(),
+            idle_connections: IdleConnections::default(),
             end_checks: TerminationChecks::default(),
             poison_records: PoisonRecords::default(),
             skipped_rows: SkippedRows::default(),
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -94,7 +94,7 @@
         self.clock.add_uncounted(pause.uncounted_ms);
         self.subscription
             .record_suspension(ms(pause.duration_ms), ms(pause.uncounted_ms));
-        self.upstream.close_kept();
+        self.idle_connections.close_all();
         self.event_log.emit(&Event::Paused {
             length_ms: pause.duration_ms,
             uncounted_ms: pause.uncounted_ms,
