--- a/crates/gateway/src/endpoint_connections.rs
+++ b/crates/gateway/src/endpoint_connections.rs
@@ -33,6 +33,7 @@
 /// Maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
+/// A body for an endpoint.
 pub(crate) type SentBody = Full<Bytes>;
 
 /// Aborts a connection's task on drop, which closes the socket: the endpoint stops
@@ -46,6 +47,7 @@
     }
 }
 
+/// A connection to one endpoint.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<SentBody>,
@@ -69,9 +71,9 @@
 
 impl IdleConnections {
     /// Takes the most recently used idle connection that is still usable.
-    pub(crate) fn checkout(&self, start: u32, may_repeat: bool) -> Option<Connection> {
+    pub(crate) fn checkout(&self, endpoint: u32, may_repeat: bool) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let endpoint_idle = idle.get_mut(&start)?;
+        let endpoint_idle = idle.get_mut(&endpoint)?;
         while let Some(last) = endpoint_idle.pop() {
             let limit = if may_repeat {
                 last.idle_timeout
@@ -87,7 +89,12 @@
     }
 
     /// Keeps a connection for reuse after a complete response.
-    pub(crate) fn check_in(&self, start: u32, connection: Connection, keep_alive_s: Option<u64>) {
+    pub(crate) fn check_in(
+        &self,
+        endpoint: u32,
+        connection: Connection,
+        keep_alive_s: Option<u64>,
+    ) {
         let allowed = keep_alive_s.map(|s| Duration::from_secs(s).mul_f64(IDLE_TIMEOUT_FRACTION));
         let idle = IdleConnection {
             connection: Connection {
@@ -97,8 +104,8 @@
             since: Instant::now(),
             idle_timeout: allowed.unwrap_or(DEFAULT_IDLE_TIMEOUT),
         };
-        let mut all_idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let endpoint_idle = all_idle.entry(start).or_default();
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let endpoint_idle = all.entry(endpoint).or_default();
         if endpoint_idle.len() >= MAX_IDLE_PER_ENDPOINT {
             endpoint_idle.remove(0);
         }
@@ -107,37 +114,37 @@
 
     /// Returns an unused connection. A new one is dropped, since the endpoint's
     /// keep-alive timeout is not known yet.
-    pub(crate) fn return_unused(&self, start: u32, connection: Connection) {
+    pub(crate) fn return_unused(&self, endpoint: u32, connection: Connection) {
         if connection.is_reused {
-            self.check_in(start, connection, None);
+            self.check_in(endpoint, connection, None);
         }
     }
 
     /// Closes the idle connections to an endpoint.
-    pub(crate) fn close(&self, start: u32) {
-        let mut all_idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        all_idle.remove(&start);
+    pub(crate) fn close(&self, endpoint: u32) {
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        all.remove(&endpoint);
     }
 
     /// Closes all idle connections, for example because they may have expired.
     pub(crate) fn close_all(&self) {
-        let mut all_idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        all_idle.clear();
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        all.clear();
     }
 
     /// Closes expired idle connections.
     pub(crate) fn close_expired(&self) {
-        let mut all_idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        for idle in all_idle.values_mut() {
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        for idle in all.values_mut() {
             idle.retain(|idle| idle.since.elapsed() <= idle.idle_timeout);
         }
-        all_idle.retain(|_, idle| !idle.is_empty());
+        all.retain(|_, idle| !idle.is_empty());
     }
 }
 
 /// Opens a connection. Returns `None` if the endpoint can't be reached in time.
 pub(crate) async fn connect(address: SocketAddr) -> Option<Connection> {
-    let connecting = async {
+    let opening = async {
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::Builder::new()
@@ -154,7 +161,7 @@
             _task: AbortOnDrop(task.abort_handle()),
         })
     };
-    tokio::time::timeout(CONNECT_TIMEOUT, connecting)
+    tokio::time::timeout(CONNECT_TIMEOUT, opening)
         .await
         .unwrap_or(None)
 }
