--- a/crates/gateway/src/arrival.rs
+++ b/crates/gateway/src/arrival.rs
@@ -9,9 +9,9 @@
 
 /// Counts the bytes of responses received so far, including partial ones.
 #[derive(Debug, Default)]
-pub struct Arrival(AtomicU64);
+pub struct ReceivedBytes(AtomicU64);
 
-impl Arrival {
+impl ReceivedBytes {
     /// Adds received bytes.
     pub fn record(&self, bytes: usize) {
         self.0.fetch_add(bytes as u64, Ordering::Relaxed);
--- a/crates/gateway/src/follow/calls.rs
+++ b/crates/gateway/src/follow/calls.rs
@@ -8,7 +8,7 @@
 use futures::stream::FuturesUnordered;
 use tokio::time::Instant;
 
-use crate::arrival::{Arrival, IdleLimits, while_arriving};
+use crate::arrival::{IdleLimits, ReceivedBytes, while_arriving};
 use crate::clock::ms;
 use crate::shared::Shared;
 use crate::source::{Source, SourceError, SourceUpdate, Topic};
@@ -27,7 +27,7 @@
     wait_ms: u64,
 ) -> Result<SourceUpdate, SourceError> {
     let times = &shared.config.follow;
-    let arrival = Arrival::default();
+    let arrival = ReceivedBytes::default();
     let patience = IdleLimits {
         first_byte: ms(wait_ms) + LATE,
         between_bytes: ms(times.stall_ms),
@@ -68,7 +68,7 @@
     since: StoreVersion,
     hedging: &Hedging,
 ) -> Result<SourceUpdate, SourceError> {
-    let arrival = Arrival::default();
+    let arrival = ReceivedBytes::default();
     let call = || source.changes(topic, since, POLL_WAIT_MS, &arrival);
     hedged(shared, topic, hedging, &arrival, call).await
 }
@@ -102,7 +102,7 @@
     shared: &Shared,
     topic: Topic,
     hedging: &Hedging,
-    arrival: &Arrival,
+    arrival: &ReceivedBytes,
     call: impl Fn() -> F,
 ) -> Result<SourceUpdate, SourceError>
 where
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -22,7 +22,7 @@
 use rand::RngExt;
 use tokio::time::Instant;
 
-use crate::arrival::Arrival;
+use crate::arrival::ReceivedBytes;
 use crate::clock::ms;
 use crate::follow::calls::{hedged, poll, wait};
 use crate::follow::failures::Failures;
@@ -130,7 +130,7 @@
         let hedging = self.failures.hedging();
         match step {
             Step::Rest | Step::ReadWhole => {
-                let arrival = Arrival::default();
+                let arrival = ReceivedBytes::default();
                 let read = || source.read(self.topic, &arrival);
                 let reading = hedged(shared, self.topic, &hedging, &arrival, read);
                 if shared.has_view() {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -62,7 +62,7 @@
 mod subscription;
 mod suspension;
 
-pub use arrival::Arrival;
+pub use arrival::ReceivedBytes;
 pub use config::{GatewayConfig, GatewayConfigBuilder};
 pub use edge::{AnswerHead, CallHead, Edge, PrefixPart, Refusal, RequestedBackoff, SendHead};
 pub use run::{RunningGateway, start};
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -9,7 +9,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::arrival::Arrival;
+use crate::arrival::ReceivedBytes;
 
 /// What can be read and followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -156,7 +156,7 @@
     fn read(
         &self,
         topic: Topic,
-        arrival: &Arrival,
+        arrival: &ReceivedBytes,
     ) -> impl Future<Output = Result<SourceUpdate, SourceError>> + Send;
 
     /// Waits for changes of a topic after a version, up to `wait_ms`, and
@@ -166,7 +166,7 @@
         topic: Topic,
         since: StoreVersion,
         wait_ms: u64,
-        arrival: &Arrival,
+        arrival: &ReceivedBytes,
     ) -> impl Future<Output = Result<SourceUpdate, SourceError>> + Send;
 
     /// Records this host and returns all that are recorded. A record is kept
--- a/crates/gateway/tests/gateway/support/source.rs
+++ b/crates/gateway/tests/gateway/support/source.rs
@@ -6,8 +6,8 @@
 
 use chalkrock_core::{Endpoint, EndpointId, PoolId, ZoneId};
 use chalkrock_gateway::{
-    Arrival, EndpointChange, EndpointRow, HostRow, ListedEndpoint, PoisonRow, RolloutWrite, Row,
-    Source, SourceError, SourceUpdate, Topic, UnreadableRow,
+    EndpointChange, EndpointRow, HostRow, ListedEndpoint, PoisonRow, ReceivedBytes, RolloutWrite,
+    Row, Source, SourceError, SourceUpdate, Topic, UnreadableRow,
 };
 use chalkrock_routing::{
     EvacuationRow, RequestFingerprint, RolloutOrder, RolloutOrderRow, RolloutRecord, RolloutStage,
@@ -199,7 +199,7 @@
     }
 
     /// Sends an answer on its way, if it holds rules.
-    async fn transfer(&self, news: SourceUpdate, arrival: &Arrival) -> SourceUpdate {
+    async fn transfer(&self, news: SourceUpdate, arrival: &ReceivedBytes) -> SourceUpdate {
         const STEP_MS: u64 = 10;
         const STEP_BYTES: usize = 1_000;
         let holds_rules = news.rows.iter().any(|row| matches!(row, Row::Rules(_)));
@@ -428,7 +428,11 @@
 }
 
 impl Source for TestSource {
-    async fn read(&self, topic: Topic, arrival: &Arrival) -> Result<SourceUpdate, SourceError> {
+    async fn read(
+        &self,
+        topic: Topic,
+        arrival: &ReceivedBytes,
+    ) -> Result<SourceUpdate, SourceError> {
         self.arrive().await;
         let news = self.rows(topic, None)?;
         Ok(self.transfer(news, arrival).await)
@@ -439,7 +443,7 @@
         topic: Topic,
         since: StoreVersion,
         wait_ms: u64,
-        arrival: &Arrival,
+        arrival: &ReceivedBytes,
     ) -> Result<SourceUpdate, SourceError> {
         let silences = self.arrive().await;
         if topic == Topic::Rules {
