--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -38,7 +38,6 @@
 mod config;
 mod dispatch;
 mod edge;
-mod end_checks;
 mod endpoint_connections;
 mod endpoint_reports;
 mod event_log;
@@ -61,6 +60,7 @@
 mod status;
 mod subscription;
 mod suspension;
+mod termination_checks;
 
 pub use arrival::ReceivedBytes;
 pub use config::{GatewayConfig, GatewayConfigBuilder};
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -127,7 +127,7 @@
         }
         let start = endpoint.start_hash().short();
         if !self
-            .end_checks
+            .termination_checks
             .has_terminated(start, endpoint.address)
             .await
         {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -19,7 +19,6 @@
 use crate::clock::{Clock, ms};
 use crate::config::GatewayConfig;
 use crate::edge::Edge;
-use crate::end_checks::TerminationChecks;
 use crate::endpoint_connections::IdleConnections;
 use crate::event_log::{Event, EventLog};
 use crate::fleet::Fleet;
@@ -29,6 +28,7 @@
 use crate::source::Topic;
 use crate::subscription::{AnsweredHost, StoreSubscription};
 use crate::suspension::SuspensionMonitor;
+use crate::termination_checks::TerminationChecks;
 
 /// Time within which a host that does not know rules and endpoints yet, or no longer,
 /// lets requests wait for them. Mostly it knows them within a tenth of a second, long
@@ -46,7 +46,7 @@
     pub(crate) event_log: EventLog,
     pub(crate) metrics: Metrics,
     pub(crate) idle_connections: IdleConnections,
-    pub(crate) end_checks: TerminationChecks,
+    pub(crate) termination_checks: TerminationChecks,
     pub(crate) poison_records: PoisonRecords,
     pub(crate) skipped_rows: SkippedRows,
     pub(crate) pauses: SuspensionMonitor,
@@ -96,7 +96,7 @@
             event_log,
             metrics: Metrics::default(),
             idle_connections: IdleConnections::default(),
-            end_checks: TerminationChecks::default(),
+            termination_checks: TerminationChecks::default(),
             poison_records: PoisonRecords::default(),
             skipped_rows: SkippedRows::default(),
             pauses: SuspensionMonitor::default(),
--- a/crates/gateway/src/end_checks.rs
+++ b/crates/gateway/src/termination_checks.rs
@@ -20,21 +20,22 @@
 /// Maximum number of remembered checks.
 const MAX_CHECKS: usize = 1_024;
 
+/// What a check found, and when.
 #[derive(Clone, Copy, Debug)]
 struct CheckResult {
     has_terminated: bool,
-    checked_at: Instant,
+    at: Instant,
 }
 
 impl CheckResult {
     fn is_expired(&self) -> bool {
-        !self.has_terminated || self.checked_at.elapsed() >= TERMINATION_RETENTION
+        !self.has_terminated || self.at.elapsed() >= TERMINATION_RETENTION
     }
 }
 
 type Check = Arc<OnceCell<CheckResult>>;
 
-/// RunningGuard checks and recent terminations.
+/// Running checks and recent terminations.
 #[derive(Debug, Default)]
 pub(crate) struct TerminationChecks {
     by_start: Mutex<HashMap<u32, Check>>,
@@ -66,6 +67,6 @@
     let connected = tokio::time::timeout(ACCEPT_TIMEOUT, connecting).await;
     CheckResult {
         has_terminated: !matches!(connected, Ok(Ok(_))),
-        checked_at: Instant::now(),
+        at: Instant::now(),
     }
 }
