--- /dev/null
+++ b/crates/gateway/src/endpoint_connections.rs
@@ -0,0 +1,167 @@
+//! Connections to endpoints, kept for reuse.
+//!
+//! If an endpoint closes an idle connection just as a request is sent, it is unknown
+//! whether the request ran. Connections are therefore reused only within a fraction of
+//! the endpoint's keep-alive timeout, and sooner for requests that must not be
+//! repeated. This module uses hyper connections directly, since clients such as reqwest
+//! repeat requests on their own.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::{Mutex, PoisonError};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+
+/// Timeout for connecting. An unreachable endpoint may never respond.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Fraction of an endpoint's keep-alive timeout for which a connection is reused.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.5;
+/// Idle timeout if the endpoint sends no keep-alive timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest idle time before a request that must not be repeated.
+const MAX_NON_REPEATABLE_IDLE: Duration = Duration::from_millis(1_500);
+/// Read-ahead of a stream with a slow caller, and largest response head. The library's
+/// default would exhaust memory with many slow callers.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
+/// Maximum number of idle connections to one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
+
+/// A body for an endpoint.
+pub(crate) type SentBody = Full<Bytes>;
+
+/// Aborts a connection's task on drop, which closes the socket: the endpoint stops
+/// working for a caller that disconnected.
+#[derive(Debug)]
+struct AbortOnDrop(AbortHandle);
+
+impl Drop for AbortOnDrop {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
+
+/// A connection to one endpoint.
+#[derive(Debug)]
+pub(crate) struct Connection {
+    pub(crate) sender: SendRequest<SentBody>,
+    /// Whether it has served a request before.
+    pub(crate) is_reused: bool,
+    _task: AbortOnDrop,
+}
+
+#[derive(Debug)]
+struct IdleConnection {
+    connection: Connection,
+    since: Instant,
+    idle_timeout: Duration,
+}
+
+/// Idle connections, by the hash of the endpoint's start.
+#[derive(Debug, Default)]
+pub(crate) struct IdleConnections {
+    idle: Mutex<HashMap<u32, Vec<IdleConnection>>>,
+}
+
+impl IdleConnections {
+    /// Takes the most recently used idle connection that is still usable.
+    pub(crate) fn checkout(&self, endpoint: u32, may_repeat: bool) -> Option<Connection> {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let endpoint_idle = idle.get_mut(&endpoint)?;
+        while let Some(last) = endpoint_idle.pop() {
+            let limit = if may_repeat {
+                last.idle_timeout
+            } else {
+                last.idle_timeout.min(MAX_NON_REPEATABLE_IDLE)
+            };
+            let is_usable = last.since.elapsed() <= limit && last.connection.sender.is_ready();
+            if is_usable {
+                return Some(last.connection);
+            }
+        }
+        None
+    }
+
+    /// Keeps a connection for reuse after a complete response.
+    pub(crate) fn check_in(
+        &self,
+        endpoint: u32,
+        connection: Connection,
+        keep_alive_s: Option<u64>,
+    ) {
+        let allowed = keep_alive_s.map(|s| Duration::from_secs(s).mul_f64(IDLE_TIMEOUT_FRACTION));
+        let idle = IdleConnection {
+            connection: Connection {
+                is_reused: true,
+                ..connection
+            },
+            since: Instant::now(),
+            idle_timeout: allowed.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+        };
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let endpoint_idle = all.entry(endpoint).or_default();
+        if endpoint_idle.len() >= MAX_IDLE_PER_ENDPOINT {
+            endpoint_idle.remove(0);
+        }
+        endpoint_idle.push(idle);
+    }
+
+    /// Returns an unused connection. A new one is dropped, since the endpoint's
+    /// keep-alive timeout is not known yet.
+    pub(crate) fn return_unused(&self, endpoint: u32, connection: Connection) {
+        if connection.is_reused {
+            self.check_in(endpoint, connection, None);
+        }
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub(crate) fn close(&self, endpoint: u32) {
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        all.remove(&endpoint);
+    }
+
+    /// Closes all idle connections, for example because they may have expired.
+    pub(crate) fn close_all(&self) {
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        all.clear();
+    }
+
+    /// Closes expired idle connections.
+    pub(crate) fn close_expired(&self) {
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        for idle in all.values_mut() {
+            idle.retain(|idle| idle.since.elapsed() <= idle.idle_timeout);
+        }
+        all.retain(|_, idle| !idle.is_empty());
+    }
+}
+
+/// Opens a connection. Returns `None` if the endpoint can't be reached in time.
+pub(crate) async fn connect(address: SocketAddr) -> Option<Connection> {
+    let opening = async {
+        let stream = TcpStream::connect(address).await.ok()?;
+        stream.set_nodelay(true).ok()?;
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(TokioIo::new(stream))
+            .await
+            .ok()?;
+        let task = tokio::spawn(async move {
+            let _requests_report_broken_connections = connection.await;
+        });
+        Some(Connection {
+            sender,
+            is_reused: false,
+            _task: AbortOnDrop(task.abort_handle()),
+        })
+    };
+    tokio::time::timeout(CONNECT_TIMEOUT, opening)
+        .await
+        .unwrap_or(None)
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,8 +7,8 @@
 //! implement the two traits and call [`start`].
 //!
 //! A request passes the modules in this order: `front` (sockets), `call` (parsed request),
-//! `progress` (deadline and attempts), `dispatch` and `attempt` (sending), `upstream`
-//! (connections), `relay` (streams).
+//! `progress` (deadline and attempts), `dispatch` and `attempt` (sending),
+//! `endpoint_connections`, `relay` (streams).
 //!
 //! # Example
 //!
@@ -36,7 +36,7 @@
 mod config;
 mod dispatch;
 mod edge;
-mod end_checks;
+mod endpoint_connections;
 mod endpoint_reports;
 mod event_log;
 mod fleet;
@@ -58,9 +58,9 @@
 mod status;
 mod subscription;
 mod suspension;
-mod upstream;
+mod termination_checks;
 
-pub use arrival::Arrival;
+pub use arrival::ReceivedBytes;
 pub use config::{GatewayConfig, GatewayConfigBuilder};
 pub use edge::{AnswerHead, CallHead, Edge, PrefixPart, Refusal, RequestedBackoff, SendHead};
 pub use run::{RunningGateway, start};
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -19,7 +19,7 @@
 use crate::clock::{Clock, ms};
 use crate::config::GatewayConfig;
 use crate::edge::Edge;
-use crate::end_checks::TerminationChecks;
+use crate::endpoint_connections::IdleConnections;
 use crate::event_log::{Event, EventLog};
 use crate::fleet::Fleet;
 use crate::lag::SchedulerLag;
@@ -28,7 +28,7 @@
 use crate::source::Topic;
 use crate::subscription::{AnsweredHost, StoreSubscription};
 use crate::suspension::SuspensionMonitor;
-use crate::upstream::Upstream;
+use crate::termination_checks::TerminationChecks;
 
 /// Longest time that requests wait for rules and endpoints, counted from when these were
 /// first missing. Later requests are refused at once.
@@ -43,7 +43,7 @@
     pub(crate) edge: Box<dyn Edge>,
     pub(crate) event_log: EventLog,
     pub(crate) metrics: Metrics,
-    pub(crate) upstream: Upstream,
+    pub(crate) idle_connections: IdleConnections,
     pub(crate) termination_checks: TerminationChecks,
     pub(crate) poison_records: PoisonRecords,
     pub(crate) skipped_rows: SkippedRows,
@@ -93,7 +93,7 @@
             edge,
             event_log,
             metrics: Metrics::default(),
-            upstream: Upstream::default(),
+            idle_connections: IdleConnections::default(),
             termination_checks: TerminationChecks::default(),
             poison_records: PoisonRecords::default(),
             skipped_rows: SkippedRows::default(),
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -9,7 +9,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::arrival::Arrival;
+use crate::arrival::ReceivedBytes;
 
 /// A set of rows that can be read and followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -153,7 +153,7 @@
     fn read(
         &self,
         topic: Topic,
-        arrival: &Arrival,
+        arrival: &ReceivedBytes,
     ) -> impl Future<Output = Result<SourceUpdate, SourceError>> + Send;
 
     /// Waits up to `wait_ms` for changes of a topic after a version. Records the bytes of
@@ -163,7 +163,7 @@
         topic: Topic,
         since: StoreVersion,
         wait_ms: u64,
-        arrival: &Arrival,
+        arrival: &ReceivedBytes,
     ) -> impl Future<Output = Result<SourceUpdate, SourceError>> + Send;
 
     /// Records this host under its address and returns all recorded hosts. A record is
