--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -13,7 +13,7 @@
     Backoffs, Basis, BudgetRules, BuildUse, Candidate, ColdEndpoints, EndpointHealth,
     EndpointTable, Evacuations, Evidence, FleetLoad, HealthSignal, MaxServiceTime,
     PlacementRequest, PoisonEvidence, PoolMember, PoolOccupancy, PoolRules, Repeatable, Rollouts,
-    ServiceTimeEwma, Shares, SpreadRules, StoreVersion, WindowBudget, choose,
+    ServiceTimeEwma, Shares, SpreadRules, StoreVersion, WindowBudget, choose_endpoint,
 };
 
 use crate::config::GatewayConfig;
@@ -197,7 +197,7 @@
             unreported_arrivals: self.unreported_arrivals(wanted.pool, &members),
             draw: wanted.draw,
         };
-        let placement = choose(&candidates, &request, &self.spread)?;
+        let placement = choose_endpoint(&candidates, &request, &self.spread)?;
         let candidate = &candidates[placement.index];
         let member = untried[placement.index].clone();
         let holder = self.other_holder(wanted, &member, now_ms);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -4,7 +4,7 @@
 //! This crate determines its route and organisation ([`Rules`]), the endpoints that
 //! may receive it ([`EndpointTable`], [`Evacuations`]) and at which rate while they
 //! are cold ([`ColdEndpoints`]) or after they back off ([`Backoffs`]), their load
-//! ([`FleetLoad`]), the one that receives it ([`choose`]), the step after an
+//! ([`FleetLoad`]), the one that receives it ([`choose_endpoint`]), the step after an
 //! attempt ([`next_step`]), the retry budget ([`WindowBudget`]), how a pool moves to
 //! another build ([`Rollouts`]) and what a stopping host accepts ([`DrainSchedule`]).
 //!
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use chalkrock_core::rendezvous::{KeyHash, MemberHash};
-//! use chalkrock_routing::{Candidate, PlacementRequest, SpreadRules, choose};
+//! use chalkrock_routing::{Candidate, PlacementRequest, SpreadRules, choose_endpoint};
 //!
 //! let idle = |name: &str| Candidate {
 //!     hash: MemberHash::of(name),
@@ -32,8 +32,9 @@
 //!     draw: 0,
 //! };
 //! let rules = SpreadRules::default();
-//! let first = choose(&candidates, &request, &rules);
-//! assert_eq!(first, choose(&candidates, &PlacementRequest { draw: 7, ..request }, &rules));
+//! let first = choose_endpoint(&candidates, &request, &rules);
+//! let other = PlacementRequest { draw: 7, ..request };
+//! assert_eq!(first, choose_endpoint(&candidates, &other, &rules));
 //! ```
 
 mod admission;
@@ -98,7 +99,7 @@
 };
 pub use rules_change::{RulesChange, RulesHistory};
 pub use shares::Shares;
-pub use spread::{Basis, Candidate, Placement, PlacementRequest, SpreadRules, choose};
+pub use spread::{Basis, Candidate, Placement, PlacementRequest, SpreadRules, choose_endpoint};
 pub use store_version::StoreVersion;
 pub use subscribers::{
     RELAYS_PER_ZONE, SubscriptionRole, ZonePeer, ZoneView, stale_poll_fraction, subscribers_needed,
--- a/crates/routing/src/spread.rs
+++ b/crates/routing/src/spread.rs
@@ -113,7 +113,7 @@
 /// Without a key, or if all are over the limit, the least loaded endpoint is chosen,
 /// preferably in the same zone. With many unreported arrivals, the choice is random and
 /// evens out the loads.
-pub fn choose(
+pub fn choose_endpoint(
     candidates: &[Candidate],
     request: &PlacementRequest,
     rules: &SpreadRules,
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -2,14 +2,15 @@
 //! requests by reports, beside an oracle that knows all loads at once.
 //!
 //! Chats that return share prefixes, a few of them often. Engines keep the
-//! prefixes that they read last. Hosts place by `choose` and by loads that are
+//! prefixes that they read last. Hosts place by `choose_endpoint` and by loads that are
 //! up to 200 ms old, and some reports are lost.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use chalkrock_core::rendezvous::{KeyHash, MemberHash};
 use chalkrock_routing::{
-    Candidate, FleetLoad, HostReport, PlacementRequest, REPORT_INTERVAL_MS, SpreadRules, choose,
+    Candidate, FleetLoad, HostReport, PlacementRequest, REPORT_INTERVAL_MS, SpreadRules,
+    choose_endpoint,
 };
 use googletest::prelude::*;
 use rand::rngs::StdRng;
@@ -272,7 +273,7 @@
             unreported_arrivals: self.unreported_arrivals(host),
             draw: self.random.random(),
         };
-        choose(&candidates, &request, &RULES).map(|placement| placement.index)
+        choose_endpoint(&candidates, &request, &RULES).map(|placement| placement.index)
     }
 
     /// Requests that the others are expected to have sent since they reported.
--- a/crates/routing/tests/spread.rs
+++ b/crates/routing/tests/spread.rs
@@ -16,7 +16,7 @@
         unreported_arrivals: 0.0,
         draw,
     };
-    chalkrock_routing::choose(candidates, &request, rules).map(|placement| placement.index)
+    chalkrock_routing::choose_endpoint(candidates, &request, rules).map(|placement| placement.index)
 }
 
 const RULES: SpreadRules = SpreadRules {
@@ -267,7 +267,7 @@
                     unreported_arrivals: unseen,
                     draw: random.random(),
                 };
-                let placed = chalkrock_routing::choose(&candidates, &request, &RULES);
+                let placed = chalkrock_routing::choose_endpoint(&candidates, &request, &RULES);
                 let of_endpoint = &mut running[placed.expect("there is one").index];
                 if of_endpoint.len() >= PLACES {
                     outcome.turned_away += 1;
@@ -317,7 +317,7 @@
                 unreported_arrivals: 31.0,
                 draw: random.random(),
             };
-            let placed = chalkrock_routing::choose(&candidates, &request, &RULES);
+            let placed = chalkrock_routing::choose_endpoint(&candidates, &request, &RULES);
             chosen[placed.expect("there is one").index] += 1;
         }
         // 32 arrivals on 128 slots, the near endpoint 16 below the other: 8
