--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -1,9 +1,9 @@
-//! Suspicion by answers and silences.
+//! Suspicion of endpoints after failures, broken connections and silence.
 
 use chalkrock_routing::{EndpointHealth, HealthSignal};
 use googletest::prelude::*;
 
-/// Health after a break at a time.
+/// Health after one break.
 fn broken_at(now_ms: u64) -> EndpointHealth {
     let mut health = EndpointHealth::default();
     health.record(HealthSignal::Break, now_ms);
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn health_suspects_after_a_break_and_tries_again() {
+fn health_is_suspect_for_a_time_after_a_break() {
     let health = broken_at(1_000);
     assert_that!(health.is_suspect(1_100), eq(true));
     assert_that!(health.is_suspect(1_500), eq(false));
 }
 
 #[test]
-fn health_lets_one_request_try() {
+fn health_allows_one_probe_at_a_time() {
     let mut health = broken_at(0);
     health.record_sent(500);
     assert_that!(health.is_suspect(510), eq(true));
@@ -27,27 +27,27 @@
 }
 
 #[test]
-fn health_suspects_longer_with_each_try_that_breaks() {
+fn health_is_suspect_longer_after_each_failed_probe() {
     let mut health = broken_at(0);
     let mut trusted_at_ms = 500;
-    for longer_ms in [1_000, 2_000, 4_000, 4_000] {
+    for suspect_ms in [1_000, 2_000, 4_000, 4_000] {
         assert_that!(health.is_suspect(trusted_at_ms - 1), eq(true));
         assert_that!(health.is_suspect(trusted_at_ms), eq(false));
         health.record_sent(trusted_at_ms);
         health.record(HealthSignal::Break, trusted_at_ms + 10);
-        trusted_at_ms += 10 + longer_ms;
+        trusted_at_ms += 10 + suspect_ms;
     }
 }
 
 #[test]
-fn health_takes_breaks_that_come_together_as_one() {
+fn health_counts_simultaneous_breaks_once() {
     let mut health = EndpointHealth::default();
     (0..50).for_each(|_| health.record(HealthSignal::Break, 10));
     assert_that!(health.is_suspect(510), eq(false));
 }
 
 #[test]
-fn health_trusts_again_after_an_answer() {
+fn health_recovers_after_an_answer() {
     let mut health = broken_at(0);
     health.record_sent(500);
     health.record(HealthSignal::Break, 501);
@@ -58,45 +58,44 @@
 }
 
 #[test]
-fn health_bears_the_failures_of_an_ordinary_day() {
+fn health_tolerates_occasional_failures() {
     let mut health = EndpointHealth::default();
     for i in 0..1_000 {
-        let sign = if i % 7 == 0 {
+        let signal = if i % 7 == 0 {
             HealthSignal::Failure
         } else {
             HealthSignal::Answer
         };
-        health.record(sign, i);
+        health.record(signal, i);
         assert_that!(health.is_suspect(i), eq(false), "answer {i}");
     }
 }
 
 #[test]
-fn health_suspects_who_mostly_fails() {
+fn health_is_suspect_after_mostly_failures() {
     let mut health = EndpointHealth::default();
     (0..6).for_each(|_| health.record(HealthSignal::Failure, 0));
     assert_that!(health.is_suspect(1), eq(true));
 }
 
 #[test]
-fn health_calls_a_wait_silent_before_any_deadline() {
+fn health_reports_silence_before_any_deadline() {
     let health = EndpointHealth::default();
     assert_that!(health.is_silent(1_000, 1_600), eq(false));
     assert_that!(health.is_silent(1_000, 1_700), eq(true));
 }
 
 #[test]
-fn health_forgives_a_wait_while_others_are_answered() {
+fn health_reports_no_silence_while_others_are_answered() {
     let mut health = EndpointHealth::default();
     health.record_received(1_900);
     assert_that!(health.is_silent(1_000, 2_500), eq(false));
     assert_that!(health.is_silent(1_000, 2_600), eq(true));
 }
 
-/// Many wait when an endpoint falls silent, some to the end of a long
-/// deadline. All of them are one silence.
+/// Guards against one silence that many requests report extending the suspicion.
 #[test]
-fn health_takes_silences_that_began_together_as_one() {
+fn health_counts_silences_that_began_together_once() {
     let mut health = EndpointHealth::default();
     for sent_at_ms in 0..10 {
         health.record(HealthSignal::Silence { sent_at_ms }, sent_at_ms + 700);
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn health_renews_suspicion_when_a_try_is_silent_too() {
+fn health_renews_suspicion_after_a_silent_probe() {
     let mut health = EndpointHealth::default();
     health.record(HealthSignal::Silence { sent_at_ms: 0 }, 700);
     health.record_sent(1_200);
@@ -118,7 +117,7 @@
 }
 
 #[test]
-fn health_ends_the_waits_of_all_when_one_was_in_vain() {
+fn health_reports_silence_to_all_earlier_requests() {
     let mut health = EndpointHealth::default();
     health.record(HealthSignal::Silence { sent_at_ms: 0 }, 700);
     assert_that!(health.is_silent(600, 710), eq(true));
@@ -128,7 +127,7 @@
 }
 
 #[test]
-fn health_leaves_tries_after_a_silence_to_what_may_be_repeated() {
+fn health_is_on_probation_after_a_silence() {
     let mut health = EndpointHealth::default();
     health.record(HealthSignal::Silence { sent_at_ms: 0 }, 700);
     assert_that!(health.is_suspect(1_200), eq(false));
--- a/crates/routing/tests/poison.rs
+++ b/crates/routing/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Evidence against requests under which endpoints end.
+//! Evidence for poison requests, under which endpoints crash.
 
 use std::collections::HashMap;
 
@@ -10,19 +10,19 @@
 use proptest::prelude::{Strategy, any, prop};
 
 const REQUEST: RequestFingerprint = RequestFingerprint(1);
-/// How long a request had run when its endpoint ended.
+/// Run time of a request when its endpoint crashes early.
 const SHORT_MS: u64 = 60;
 const OTHER: RequestFingerprint = RequestFingerprint(2);
 
-/// Tells both what the other knows, as hosts do in their rounds.
+/// Exchanges updates in both directions.
 fn exchange(a: &mut PoisonEvidence, b: &mut PoisonEvidence, now_ms: u64) {
-    let told = a.take_updates(usize::MAX, now_ms);
-    b.merge(&told, false, now_ms);
-    let told = b.take_updates(usize::MAX, now_ms);
-    a.merge(&told, false, now_ms);
+    let updates = a.take_updates(usize::MAX, now_ms);
+    b.merge(&updates, false, now_ms);
+    let updates = b.take_updates(usize::MAX, now_ms);
+    a.merge(&updates, false, now_ms);
 }
 
-/// Evidence of so many ends under a request.
+/// Evidence of this many crashes under a request.
 fn evidence(crashes: u32) -> PoisonEvidence {
     let mut evidence = PoisonEvidence::default();
     for start in 0..crashes {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn is_poison_after_three_ends() {
+fn is_poison_after_max_crashes() {
     for crashes in 0..=5 {
         let is_poison = evidence(crashes).is_poison(REQUEST, 0);
         assert_that!(is_poison, eq(crashes as usize >= MAX_CRASHES), "{crashes}");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn ended_under_one_start_counts_once() {
+fn record_crash_counts_each_start_once() {
     let mut evidence = PoisonEvidence::default();
     for _ in 0..5 {
         assert_that!(evidence.record_crash(REQUEST, 7, SHORT_MS, 0), none());
@@ -48,10 +48,9 @@
     assert_that!(evidence.crashes(REQUEST), eq(1));
 }
 
-/// What ends its endpoints does so as it begins to run: one that ran on for long was
-/// there by chance. If it does so late, after twice as many all the same.
+/// Guards against rejecting long-running requests that are present by chance.
 #[test]
-fn ended_under_counts_half_after_a_long_run() {
+fn record_crash_counts_half_after_a_long_run() {
     let cases: [(&[u64], bool); 7] = [
         (&[60, 60, 60], true),
         (&[60, 60, 900], false),
@@ -71,7 +70,7 @@
 }
 
 #[test]
-fn ended_under_one_start_counts_by_its_shorter_run() {
+fn record_crash_counts_the_shorter_run_of_a_start() {
     let mut evidence = PoisonEvidence::default();
     for start in 0..3 {
         evidence.record_crash(REQUEST, start, 900, 0);
@@ -81,7 +80,7 @@
 }
 
 #[test]
-fn merge_adds_what_two_hosts_saw() {
+fn merge_combines_crashes_of_two_hosts() {
     let mut a = PoisonEvidence::default();
     let mut b = PoisonEvidence::default();
     a.record_crash(REQUEST, 1, SHORT_MS, 0);
@@ -97,7 +96,7 @@
 }
 
 #[test]
-fn ended_well_clears_a_request_everywhere() {
+fn record_completion_clears_a_request_everywhere() {
     let mut a = evidence(3);
     let mut b = PoisonEvidence::default();
     b.merge_poison(&a.poison_requests(8, 0), 0);
@@ -113,10 +112,9 @@
     assert_that!(a.is_poison(REQUEST, 10), eq(false));
 }
 
-/// A host that lost the word that a request ran well goes on telling the others to
-/// refuse it: they don't, and tell it again.
+/// Guards against a lost completion keeping a request rejected.
 #[test]
-fn ended_well_is_told_to_whoever_has_not_heard() {
+fn record_completion_is_sent_again_to_hosts_that_missed_it() {
     let mut a = evidence(3);
     let mut b = PoisonEvidence::default();
     b.record_completion(REQUEST, 0);
@@ -126,10 +124,9 @@
     assert_that!(a.is_poison(REQUEST, 20), eq(false));
 }
 
-/// Calls without a body have all the same content: some are there whenever an
-/// endpoint ends.
+/// Guards against rejecting requests without a body, which share a fingerprint.
 #[test]
-fn ended_under_accuses_nothing_that_ran_well() {
+fn record_crash_ignores_completed_requests() {
     let mut evidence = PoisonEvidence::default();
     evidence.record_completion(REQUEST, 0);
     for start in 0..9 {
@@ -139,7 +136,7 @@
 }
 
 #[test]
-fn is_poison_until_it_did_not_come_for_long() {
+fn is_poison_until_it_is_not_repeated_for_long() {
     let mut evidence = evidence(3);
     let almost_ms = POISON_RETENTION_MS - 1;
     assert_that!(evidence.is_poison(REQUEST, almost_ms), eq(true));
@@ -156,10 +153,9 @@
     assert_that!(evidence.crashes(REQUEST), eq(0));
 }
 
-/// Hosts tell each other for how much longer a request is refused: they must not
-/// keep each other's word alive.
+/// Guards against hosts that keep extending the rejection by their exchange.
 #[test]
-fn merge_poison_keeps_nothing_alive_by_itself() {
+fn merge_poison_extends_no_rejection() {
     let mut a = evidence(3);
     let mut b = PoisonEvidence::default();
     for now_ms in (0..POISON_RETENTION_MS).step_by(200) {
@@ -171,18 +167,17 @@
 }
 
 #[test]
-fn take_pending_tells_a_few_times_and_nothing_old() {
+fn take_updates_returns_updates_a_few_times_and_none_old() {
     let mut evidence = evidence(1);
-    let told = (0..6).map(|round| evidence.take_updates(9, round * 200).len());
-    assert_that!(told.sum::<usize>(), eq(3));
+    let counts = (0..6).map(|round| evidence.take_updates(9, round * 200).len());
+    assert_that!(counts.sum::<usize>(), eq(3));
     evidence.record_crash(OTHER, 1, SHORT_MS, 0);
     assert_that!(evidence.take_updates(9, 3_001), is_empty());
 }
 
-/// A caller who makes new requests without end fills no memory, and does not drive
-/// out what is known of a request that ended endpoints.
+/// Guards against unlimited new requests exhausting memory or evicting poison requests.
 #[test]
-fn ended_under_is_bounded() {
+fn record_crash_is_bounded() {
     const REQUESTS: u64 = 20_000;
     let mut evidence = evidence(3);
     for request in 10..10 + REQUESTS {
@@ -196,16 +191,16 @@
     assert_that!(evidence.is_poison(REQUEST, 10), eq(true));
 }
 
-/// What one host sees or hears.
+/// A crash that a host observes, or a message between hosts.
 #[derive(Clone, Debug)]
 enum Step {
-    Ended {
+    Crash {
         host: usize,
         request: u64,
         start: u32,
         ran_long: bool,
     },
-    Tell {
+    Send {
         from: usize,
         to: usize,
     },
@@ -214,15 +209,15 @@
 const HOSTS: usize = 4;
 
 fn step() -> impl Strategy<Value = Step> {
-    let ended = (0..HOSTS, 0..3_u64, 0..7_u32, any::<bool>());
-    let ended = ended.prop_map(|(host, request, start, ran_long)| Step::Ended {
+    let crash = (0..HOSTS, 0..3_u64, 0..7_u32, any::<bool>());
+    let crash = crash.prop_map(|(host, request, start, ran_long)| Step::Crash {
         host,
         request,
         start,
         ran_long,
     });
-    let tell = (0..HOSTS, 0..HOSTS).prop_map(|(from, to)| Step::Tell { from, to });
-    proptest::prop_oneof![ended, tell]
+    let send = (0..HOSTS, 0..HOSTS).prop_map(|(from, to)| Step::Send { from, to });
+    proptest::prop_oneof![crash, send]
 }
 
 proptest::proptest! {
@@ -232,34 +227,33 @@
         ..proptest::prelude::ProptestConfig::default()
     })]
 
-    /// Whatever hosts see and in whatever order they hear of it: no request is
-    /// refused under which fewer endpoints ended than it takes, and once all have
-    /// told all, those under which enough did are refused by each of them.
+    /// Guards against hosts that disagree on poison requests after exchanging all
+    /// updates, in any order.
     #[test]
-    fn hosts_agree_on_what_they_saw_together(steps in prop::collection::vec(step(), 0..60)) {
+    fn hosts_agree_on_poison_requests(steps in prop::collection::vec(step(), 0..60)) {
         let mut hosts = vec![PoisonEvidence::default(); HOSTS];
-        // Each end, and whether the longer of two runs is all that was seen.
-        let mut ends: HashMap<(u64, u32), bool> = HashMap::new();
+        // Each crash, and whether all of its observed runs were long.
+        let mut crashes_by_start: HashMap<(u64, u32), bool> = HashMap::new();
         for step in steps {
             match step {
-                Step::Ended { host, request, start, ran_long } => {
-                    *ends.entry((request, start)).or_insert(true) &= ran_long;
+                Step::Crash { host, request, start, ran_long } => {
+                    *crashes_by_start.entry((request, start)).or_insert(true) &= ran_long;
                     let ran_ms = if ran_long { LONG_RUN_MS } else { SHORT_MS };
                     hosts[host].record_crash(RequestFingerprint(request), start, ran_ms, 0);
                 }
-                Step::Tell { from, to } => {
-                    let told = hosts[from].poison_requests(usize::MAX, 0);
-                    hosts[to].merge_poison(&told, 0);
+                Step::Send { from, to } => {
+                    let requests = hosts[from].poison_requests(usize::MAX, 0);
+                    hosts[to].merge_poison(&requests, 0);
                 }
             }
         }
-        let told: Vec<Vec<PoisonUpdate>> =
+        let updates: Vec<Vec<PoisonUpdate>> =
             hosts.iter_mut().map(|host| host.take_updates(usize::MAX, 0)).collect();
         for host in &mut hosts {
-            told.iter().for_each(|told| { host.merge(told, false, 0); });
+            updates.iter().for_each(|updates| { host.merge(updates, false, 0); });
         }
         for request in 0..3 {
-            let of_request = ends.iter().filter(|((of, _), _)| *of == request);
+            let of_request = crashes_by_start.iter().filter(|((of, _), _)| *of == request);
             let halves: usize = of_request.map(|(_, ran_long)| if *ran_long { 1 } else { 2 }).sum();
             for host in &hosts {
                 let is_poison = host.is_poison(RequestFingerprint(request), 0);
@@ -268,10 +262,9 @@
         }
     }
 
-    /// What one host tells of how long a request is refused never makes another
-    /// refuse it for longer.
+    /// Guards against extending a rejection beyond the longest one received.
     #[test]
-    fn merge_poison_takes_the_later_end(left_ms in any::<[u32; 2]>()) {
+    fn merge_poison_keeps_the_later_end(left_ms in any::<[u32; 2]>()) {
         let mut evidence = PoisonEvidence::default();
         for left_ms in left_ms {
             evidence.merge_poison(&[PoisonRequest { request: REQUEST, left_ms }], 0);
--- a/crates/routing/tests/rollout.rs
+++ b/crates/routing/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts: what a new build gets, how it is judged, and when its pool moves.
+//! Rollouts: exposure and assessment of a new build, and when its pool moves.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const WITHIN_MS: u64 = 12_000;
+const DEADLINE_MS: u64 = 12_000;
 const HOSTS: usize = 62;
 
 fn pool() -> PoolId {
@@ -30,7 +30,7 @@
 fn order(build: &str) -> RolloutOrder {
     RolloutOrder {
         build: build.into(),
-        within_ms: WITHIN_MS,
+        within_ms: DEADLINE_MS,
     }
 }
 
@@ -58,7 +58,7 @@
     Rollouts::new(ExposureBound::default())
 }
 
-/// Rollouts with an order for `v2` and, if one is given, a record of it.
+/// Rollouts with an order for `v2` and, if a stage is given, its record.
 fn ordered(stage: Option<RolloutStage>) -> Rollouts<u32> {
     let mut rollouts = rollouts();
     rollouts.apply_order_changes(&[order_row(1, Some("v2"))], StoreVersion(1), 0.5, 0);
@@ -68,7 +68,7 @@
     rollouts
 }
 
-fn wish<'a>(pool: &'a PoolId, route: &'a Arc<str>) -> BuildRequest<'a> {
+fn build_request<'a>(pool: &'a PoolId, route: &'a Arc<str>) -> BuildRequest<'a> {
     BuildRequest {
         pool,
         route,
@@ -80,36 +80,36 @@
 const ENDED: ObservedResponse = ObservedResponse::Ended { pace_ms: None };
 
 #[test]
-fn exposure_is_the_hosts_part_whatever_routes_get() {
-    let mut exposure = Exposure::new(ExposureBound::default(), WITHIN_MS, 0.0);
+fn exposure_keeps_the_share_across_routes() {
+    let mut exposure = Exposure::new(ExposureBound::default(), DEADLINE_MS, 0.0);
     let routes: [Arc<str>; 3] = ["rare".into(), "usual".into(), "common".into()];
     let mut exposed = [0; 3];
     for number in 0..6_000_usize {
         // One in ten, three in ten, six in ten.
-        let of_route = [0, 1, 1, 1, 2, 2, 2, 2, 2, 2][number % 10];
-        let takes = exposure.admits(&routes[of_route], number as u64, HOSTS);
-        exposed[of_route] += usize::from(takes);
+        let route_index = [0, 1, 1, 1, 2, 2, 2, 2, 2, 2][number % 10];
+        let is_exposed = exposure.admits(&routes[route_index], number as u64, HOSTS);
+        exposed[route_index] += usize::from(is_exposed);
     }
     assert_that!(exposed.iter().sum::<usize>(), all!(ge(285), le(305)));
-    assert_that!(exposed[0], ge(90), "the rare route is tried as often");
+    assert_that!(exposed[0], ge(90), "the rare route is exposed as often");
 }
 
 #[test]
-fn exposure_uses_the_slack_where_requests_are_few() {
+fn exposure_uses_the_slack_with_few_requests() {
     let bound = ExposureBound {
         share: 0.1,
         slack: 50.0,
     };
-    let mut exposure = Exposure::new(bound, WITHIN_MS, 0.0);
-    // Two a second: 24 until the deadline, of which 2.4 and 50 / 62 may be exposed.
+    let mut exposure = Exposure::new(bound, DEADLINE_MS, 0.0);
+    // Two requests a second: 24 until the deadline, of which 2.4 + 50 / 62 may be exposed.
     let route = route();
-    let takes = |number: u64| exposure.admits(&route, number * 500, HOSTS);
-    let exposed = (0..240).map(takes).filter(|takes| *takes).count();
+    let admits = |number: u64| exposure.admits(&route, number * 500, HOSTS);
+    let exposed = (0..240).map(admits).filter(|admits| *admits).count();
     assert_that!(exposed, all!(ge(13), le(24)));
 }
 
-fn lives() -> impl Strategy<Value = Vec<(u16, u8)>> {
-    // Of each life of a host: its requests, and where its counter begins.
+fn incarnations() -> impl Strategy<Value = Vec<(u16, u8)>> {
+    // Requests of each incarnation of a host, and the start of its counter.
     prop::collection::vec((0..400_u16, any::<u8>()), 1..120)
 }
 
@@ -117,38 +117,37 @@
     #![proptest_config(proptest::prelude::ProptestConfig { failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(20), ..Default::default() })]
 
-    /// Hosts that know nothing of each other, restart, or are alone send no more in all
-    /// than their parts, and in the mean no more for any restart.
+    /// Guards against exceeding the share by restarts or by hosts that are isolated.
     #[test]
-    fn exposure_of_all_lives_is_held(lives in lives()) {
+    fn exposure_is_bounded_over_all_incarnations(incarnations in incarnations()) {
         let bound = ExposureBound::default();
         let route = route();
         let mut exposed = 0.0;
         let mut requests = 0.0;
-        for (count, begins) in &lives {
-            let begins_at = f64::from(*begins) / 256.0;
-            let mut exposure = Exposure::new(bound, WITHIN_MS, begins_at);
+        for (count, counter_start) in &incarnations {
+            let starts_at = f64::from(*counter_start) / 256.0;
+            let mut exposure = Exposure::new(bound, DEADLINE_MS, starts_at);
             for _ in 0..*count {
                 exposed += f64::from(u8::from(exposure.admits(&route, 0, HOSTS)));
             }
             requests += f64::from(*count);
         }
-        let begun: f64 = lives.iter().map(|(_, begins)| f64::from(*begins) / 256.0).sum();
-        proptest::prop_assert!(exposed <= 0.05 * requests + begun + 1e-6);
+        let initial: f64 = incarnations.iter().map(|(_, start)| f64::from(*start) / 256.0).sum();
+        proptest::prop_assert!(exposed <= 0.05 * requests + initial + 1e-6);
     }
 }
 
-/// Counts answers of which a part fail.
+/// A tally of answers and failures of each side.
 fn tally(new: (u32, u32), old: (u32, u32)) -> Tally {
     let mut tally = Tally::default();
     let mut count = |side: BuildSide, (answers, failures): (u32, u32)| {
         for number in 0..answers {
-            let seen = if number < failures {
+            let response = if number < failures {
                 ObservedResponse::Failed
             } else {
                 ENDED
             };
-            tally.record(&route(), side, seen);
+            tally.record(&route(), side, response);
         }
     };
     count(BuildSide::New, new);
@@ -166,12 +165,7 @@
         ("a third fail", (12, 4), (800, 1), true),
         ("a tenth fail", (60, 6), (800, 1), true),
         ("the fleet fails as often", (40, 12), (800, 240), false),
-        (
-            "a service that fails often anyway",
-            (30, 5),
-            (400, 56),
-            false,
-        ),
+        ("a service that often fails", (30, 5), (400, 56), false),
         ("twice as often as that", (60, 25), (400, 56), true),
     ];
     for (name, new, old, is_bad) in cases {
@@ -180,7 +174,7 @@
     }
 }
 
-fn times(side: BuildSide, ms: impl Iterator<Item = f64>, tally: &mut Tally) {
+fn record_times(side: BuildSide, ms: impl Iterator<Item = f64>, tally: &mut Tally) {
     for ms in ms {
         let pace_ms = Some(ms);
         tally.record(&route(), side, ObservedResponse::Ended { pace_ms });
@@ -191,50 +185,50 @@
 fn assessment_separates_a_slow_build_from_a_slow_fleet() {
     let usual = |count: u32| (0..count).map(|i| 20.0 + f64::from(i % 20));
     let slow = |count: u32| usual(count).map(|ms| 5.0 * ms);
-    let judged = |new: Vec<f64>, old: Vec<f64>| {
+    let is_bad = |new: Vec<f64>, old: Vec<f64>| {
         let mut tally = Tally::default();
-        times(BuildSide::New, new.into_iter(), &mut tally);
-        times(BuildSide::Old, old.into_iter(), &mut tally);
+        record_times(BuildSide::New, new.into_iter(), &mut tally);
+        record_times(BuildSide::Old, old.into_iter(), &mut tally);
         assess_build(&tally).is_bad()
     };
-    assert_that!(judged(usual(40).collect(), usual(400).collect()), eq(false));
-    assert_that!(judged(slow(40).collect(), usual(400).collect()), eq(true));
-    assert_that!(judged(slow(40).collect(), slow(400).collect()), eq(false));
-    let part = usual(28).chain(slow(12)).collect();
-    assert_that!(judged(part, usual(400).collect()), eq(true));
+    assert_that!(is_bad(usual(40).collect(), usual(400).collect()), eq(false));
+    assert_that!(is_bad(slow(40).collect(), usual(400).collect()), eq(true));
+    assert_that!(is_bad(slow(40).collect(), slow(400).collect()), eq(false));
+    let partly_slow = usual(28).chain(slow(12)).collect();
+    assert_that!(is_bad(partly_slow, usual(400).collect()), eq(true));
 }
 
-/// Looked at after each answer, as it is in use.
+/// Guards against false alarms of an assessment that is repeated after each answer.
 #[test]
 fn assessment_seldom_rejects_a_good_build() {
     const SEEDS: u64 = 1_000;
     const ANSWERS: u32 = 150;
-    let accused = (0..SEEDS).filter(|seed| {
+    let rejected = (0..SEEDS).filter(|seed| {
         let mut rng = StdRng::seed_from_u64(*seed);
         let mut tally = Tally::default();
-        let mut fails = |tally: &mut Tally, side| {
-            let seen = if rng.random::<f64>() < 0.14 {
+        let mut record_one = |tally: &mut Tally, side| {
+            let response = if rng.random::<f64>() < 0.14 {
                 ObservedResponse::Failed
             } else {
                 ENDED
             };
-            tally.record(&route(), side, seen);
+            tally.record(&route(), side, response);
         };
         (0..ANSWERS).any(|_| {
-            (0..10).for_each(|_| fails(&mut tally, BuildSide::Old));
-            fails(&mut tally, BuildSide::New);
+            (0..10).for_each(|_| record_one(&mut tally, BuildSide::Old));
+            record_one(&mut tally, BuildSide::New);
             assess_build(&tally).is_bad()
         })
     });
-    // One in 665 by the threshold: two in a thousand.
-    assert_that!(accused.count(), le(4));
+    // The threshold allows one in 665.
+    assert_that!(rejected.count(), le(4));
 }
 
 fn view(stage: Option<RolloutStage>) -> RolloutView {
     RolloutView {
         stage,
         age_ms: 7_000,
-        within_ms: WITHIN_MS,
+        within_ms: DEADLINE_MS,
         is_withdrawn: false,
         new_slots: 100,
         old_slots: 100,
@@ -251,9 +245,9 @@
 
 #[test]
 fn next_stage_follows_the_table() {
-    use RolloutReason as Why;
+    use RolloutReason as Reason;
     use RolloutStage::{Canary, Done, Moving, RolledBack};
-    type Case = (&'static str, RolloutView, Option<(RolloutStage, Why)>);
+    type Case = (&'static str, RolloutView, Option<(RolloutStage, Reason)>);
     let canary = || view(Some(Canary));
     let moving = || view(Some(Moving));
     let bad = || BuildAssessment {
@@ -266,13 +260,13 @@
         answers,
         ..BuildAssessment::default()
     };
-    let unsure = BuildAssessment {
+    let undecided = BuildAssessment {
         log_odds: 1.0,
         answers: 40,
         ..BuildAssessment::default()
     };
     let cases: Vec<Case> = vec![
-        ("ordered", view(None), Some((Canary, Why::Ordered))),
+        ("ordered", view(None), Some((Canary, Reason::Ordered))),
         (
             "withdrawn before a record",
             RolloutView {
@@ -281,7 +275,7 @@
             },
             None,
         ),
-        ("sound", canary(), Some((Moving, Why::Sound))),
+        ("sound", canary(), Some((Moving, Reason::Sound))),
         (
             "sound, too soon",
             RolloutView {
@@ -297,12 +291,12 @@
                 age_ms: 100,
                 ..canary()
             },
-            Some((RolledBack, Why::Bad)),
+            Some((RolledBack, Reason::Bad)),
         ),
         (
             "unsure",
             RolloutView {
-                assessment: unsure.clone(),
+                assessment: undecided.clone(),
                 ..canary()
             },
             None,
@@ -310,11 +304,11 @@
         (
             "unsure at the end",
             RolloutView {
-                assessment: unsure,
-                age_ms: WITHIN_MS,
+                assessment: undecided,
+                age_ms: DEADLINE_MS,
                 ..canary()
             },
-            Some((RolledBack, Why::Undecided)),
+            Some((RolledBack, Reason::Undecided)),
         ),
         (
             "few answers",
@@ -331,10 +325,10 @@
                 age_ms: 9_000,
                 ..canary()
             },
-            Some((Moving, Why::Sound)),
+            Some((Moving, Reason::Sound)),
         ),
         (
-            "next to none, late",
+            "almost no answers, late",
             RolloutView {
                 assessment: few(2),
                 age_ms: 9_000,
@@ -343,16 +337,16 @@
             None,
         ),
         (
-            "next to none, at the end",
+            "almost no answers, at the end",
             RolloutView {
                 assessment: few(2),
-                age_ms: WITHIN_MS,
+                age_ms: DEADLINE_MS,
                 ..canary()
             },
-            Some((RolledBack, Why::Undecided)),
+            Some((RolledBack, Reason::Undecided)),
         ),
         (
-            "no room yet",
+            "too few slots",
             RolloutView {
                 new_slots: 20,
                 ..canary()
@@ -360,24 +354,24 @@
             None,
         ),
         (
-            "room for all that runs",
+            "slots for all requests",
             RolloutView {
                 new_slots: 60,
                 ..canary()
             },
-            Some((Moving, Why::Sound)),
+            Some((Moving, Reason::Sound)),
         ),
         (
-            "never came",
+            "no endpoints in time",
             RolloutView {
                 new_slots: 0,
-                age_ms: WITHIN_MS,
+                age_ms: DEADLINE_MS,
                 ..canary()
             },
-            Some((RolledBack, Why::NoEndpoints)),
+            Some((RolledBack, Reason::NoEndpoints)),
         ),
         (
-            "not there yet",
+            "no endpoints yet",
             RolloutView {
                 new_slots: 0,
                 ..canary()
@@ -391,7 +385,7 @@
                 age_ms: 10,
                 ..canary()
             },
-            Some((Moving, Why::Moved)),
+            Some((Moving, Reason::Moved)),
         ),
         (
             "withdrawn",
@@ -399,29 +393,29 @@
                 is_withdrawn: true,
                 ..canary()
             },
-            Some((RolledBack, Why::Withdrawn)),
+            Some((RolledBack, Reason::Withdrawn)),
         ),
         (
-            "withdrawn while it moves",
+            "withdrawn while moving",
             RolloutView {
                 is_withdrawn: true,
                 ..moving()
             },
-            Some((RolledBack, Why::Withdrawn)),
+            Some((RolledBack, Reason::Withdrawn)),
         ),
         (
-            "bad while it moves",
+            "bad while moving",
             RolloutView {
                 assessment: bad(),
                 ..moving()
             },
-            Some((RolledBack, Why::Bad)),
+            Some((RolledBack, Reason::Bad)),
         ),
-        ("still runs at the old ones", moving(), None),
+        ("requests on old endpoints", moving(), None),
         (
-            "still runs there, late",
+            "requests on old endpoints, late",
             RolloutView {
-                age_ms: 2 * WITHIN_MS,
+                age_ms: 2 * DEADLINE_MS,
                 ..moving()
             },
             None,
@@ -432,15 +426,15 @@
                 old_idle_ms: 800,
                 ..moving()
             },
-            Some((Done, Why::Moved)),
+            Some((Done, Reason::Moved)),
         ),
         (
-            "new ones lost while it moves",
+            "new endpoints lost while moving",
             RolloutView {
                 new_slots: 0,
                 ..moving()
             },
-            Some((RolledBack, Why::NoEndpoints)),
+            Some((RolledBack, Reason::NoEndpoints)),
         ),
         (
             "done",
@@ -467,9 +461,9 @@
 }
 
 #[test]
-fn builds_that_may_be_used_follow_the_stage() {
+fn build_filter_follows_the_stage() {
     use RolloutStage::{Canary, Done, Moving, RolledBack};
-    // Of the first use: whether the old, the new and another build may be used.
+    // Whether the old, the new and another build are admitted.
     let cases = [
         (None, [true, false, true]),
         (Some(Canary), [true, false, true]),
@@ -486,44 +480,44 @@
     let (pool, route) = (pool(), route());
     let mut done = ordered(Some(Done));
     assert_that!(
-        done.build_uses(&wish(&pool, &route), 0),
+        done.build_uses(&build_request(&pool, &route), 0),
         eq(&[BuildUse::New])
     );
-    let mut back = ordered(Some(RolledBack));
+    let mut rolled_back = ordered(Some(RolledBack));
     assert_that!(
-        back.build_uses(&wish(&pool, &route), 0),
+        rolled_back.build_uses(&build_request(&pool, &route), 0),
         eq(&[BuildUse::Old])
     );
 }
 
 #[test]
-fn canary_requests_are_first_tries_alone() {
+fn canary_requests_are_first_attempts_only() {
     let mut rollouts = ordered(Some(RolloutStage::Canary));
     let (pool, route) = (pool(), route());
-    let first = wish(&pool, &route);
-    let again = BuildRequest {
+    let first = build_request(&pool, &route);
+    let retry = BuildRequest {
         is_first: false,
         ..first
     };
     let is_canary = |uses: &[BuildUse]| uses.first() == Some(&BuildUse::Canary);
-    let of_first = (0..1_000).filter(|_| is_canary(rollouts.build_uses(&first, 0)));
-    assert_that!(of_first.count(), all!(ge(45), le(55)));
-    let of_again = (0..1_000).filter(|_| is_canary(rollouts.build_uses(&again, 0)));
-    assert_that!(of_again.count(), eq(0));
+    let first_canaries = (0..1_000).filter(|_| is_canary(rollouts.build_uses(&first, 0)));
+    assert_that!(first_canaries.count(), all!(ge(45), le(55)));
+    let retry_canaries = (0..1_000).filter(|_| is_canary(rollouts.build_uses(&retry, 0)));
+    assert_that!(retry_canaries.count(), eq(0));
 }
 
 #[test]
-fn canaries_are_as_few_as_their_share() {
+fn canaries_are_limited_to_their_share() {
     let rollouts = ordered(Some(RolloutStage::Canary));
     for (old, expected) in [(0, 1), (3, 1), (60, 3), (90, 5), (9_000, 60)] {
         let new = (0..60).map(|i| MemberHash::of(&format!("new-{i}")));
-        let tried = rollouts.canaries(&pool(), new, old);
-        assert_that!(tried.len(), eq(expected), "{old}");
+        let canaries = rollouts.canaries(&pool(), new, old);
+        assert_that!(canaries.len(), eq(expected), "{old}");
     }
 }
 
 #[test]
-fn routes_move_each_at_its_time() {
+fn routes_move_at_their_scheduled_times() {
     let mut rollouts = ordered(None);
     let moves_ms = [("short".into(), 9_000), ("long".into(), 5_000)].into();
     let moving = RolloutRecord {
@@ -534,11 +528,11 @@
     let pool = pool();
     let mut first_use = |name: &str, now_ms| {
         let route = name.into();
-        let again = BuildRequest {
+        let retry = BuildRequest {
             is_first: false,
-            ..wish(&pool, &route)
+            ..build_request(&pool, &route)
         };
-        rollouts.build_uses(&again, now_ms)[0]
+        rollouts.build_uses(&retry, now_ms)[0]
     };
     assert_that!(first_use("long", 5_000), eq(BuildUse::New));
     assert_that!(first_use("short", 5_000), eq(BuildUse::Old));
@@ -547,7 +541,7 @@
 }
 
 #[test]
-fn all_have_moved_when_the_last_route_has() {
+fn have_all_moved_after_the_last_route() {
     let moves_ms = [("short".into(), 9_000), ("long".into(), 5_000)].into();
     let moving = RolloutRecord {
         moves_ms,
@@ -561,12 +555,12 @@
     );
 }
 
-/// A build that came up while no order for it was known got requests at once.
+/// Guards against sending requests to a new build before its order is known.
 #[test]
-fn build_that_is_new_to_its_pool_waits_for_an_order() {
+fn new_build_waits_for_an_order() {
     let mut rollouts = rollouts();
     let (v1, v2) = (BuildVersion::from("v1"), BuildVersion::from("v2"));
-    let listed = |rollouts: &mut Rollouts<u32>, builds: &[&BuildVersion], now_ms| {
+    let record_listed = |rollouts: &mut Rollouts<u32>, builds: &[&BuildVersion], now_ms| {
         rollouts.record_listed_builds(&pool(), builds.iter().copied(), now_ms);
     };
     let admits = |rollouts: &Rollouts<u32>, build: &BuildVersion, now_ms| {
@@ -574,20 +568,20 @@
             .filter(&pool(), BuildUse::Any, now_ms)
             .admits(build)
     };
-    listed(&mut rollouts, &[&v1], 0);
+    record_listed(&mut rollouts, &[&v1], 0);
     assert_that!(
         admits(&rollouts, &v1, 0),
         eq(true),
-        "the first list is usual"
+        "builds of the first list are known"
     );
-    listed(&mut rollouts, &[&v1, &v2], 5_000);
+    record_listed(&mut rollouts, &[&v1, &v2], 5_000);
     assert_that!(admits(&rollouts, &v1, 5_000), eq(true));
     assert_that!(admits(&rollouts, &v2, 5_000), eq(false));
-    assert_that!(admits(&rollouts, &v2, 6_000), eq(true), "no order came");
+    assert_that!(admits(&rollouts, &v2, 6_000), eq(true), "no order arrived");
 }
 
 #[test]
-fn order_that_is_given_again_begins_anew() {
+fn repeated_order_restarts_the_rollout() {
     let mut rollouts = ordered(Some(RolloutStage::RolledBack));
     rollouts.apply_order_changes(&[order_row(7, Some("v2"))], StoreVersion(7), 0.5, 50_000);
     assert_that!(rollouts.stage(&pool()), none());
@@ -597,14 +591,14 @@
         eq(StoreVersion(2)),
         "to be replaced"
     );
-    // The record of the earlier order says nothing of this one.
+    // A record of the earlier order does not apply.
     let late = record(1, RolloutStage::Done);
     rollouts.merge_record(&pool(), late, StoreVersion(3), 50_000);
     assert_that!(rollouts.stage(&pool()), none());
 }
 
 #[test]
-fn order_that_is_taken_back_leaves_what_was_final() {
+fn withdrawn_order_keeps_a_final_stage() {
     let mut rollouts = ordered(Some(RolloutStage::RolledBack));
     rollouts.apply_order_changes(&[order_row(9, None)], StoreVersion(9), 0.5, 0);
     let filter = rollouts.filter(&pool(), rollouts.stable_use(&pool()), 0);
@@ -612,7 +606,7 @@
 }
 
 #[test]
-fn age_is_that_of_whoever_heard_first() {
+fn merge_age_keeps_the_highest_age() {
     let mut rollouts = ordered(None);
     rollouts.merge_age(&pool(), StoreVersion(1), 3_000, 1_000);
     rollouts.merge_age(&pool(), StoreVersion(1), 500, 1_000);
@@ -620,12 +614,12 @@
     assert_that!(rollouts.age_ms(&pool(), 1_000), eq(3_000));
 }
 
-/// What happens at the store, in order: an order, or a record of the last one.
+/// Changes in the store, in order: a new order, or a record of the latest one.
 fn history() -> impl Strategy<Value = Vec<(bool, u8)>> {
     prop::collection::vec((any::<bool>(), 0..4_u8), 1..12)
 }
 
-fn stage_of(number: u8) -> RolloutStage {
+fn nth_stage(number: u8) -> RolloutStage {
     match number {
         0 => RolloutStage::Canary,
         1 => RolloutStage::Moving,
@@ -634,16 +628,16 @@
     }
 }
 
-/// One thing that a host may be told of.
+/// An update that a host may receive.
 #[derive(Clone, Debug)]
-enum Word {
+enum Update {
     Orders(RolloutOrders),
     Record(RolloutRecord, StoreVersion),
 }
 
-/// All words of a history, in the order of the store.
-fn words(history: &[(bool, u8)]) -> Vec<Word> {
-    let mut words = vec![Word::Orders(RolloutOrders::from_snapshot(
+/// All updates of a history, in store order.
+fn updates(history: &[(bool, u8)]) -> Vec<Update> {
+    let mut updates = vec![Update::Orders(RolloutOrders::from_snapshot(
         StoreVersion(1),
         [order_row(1, Some("v2"))],
     ))];
@@ -653,24 +647,24 @@
         if *is_order {
             order = version;
             let row = order_row(version, Some("v2"));
-            words.push(Word::Orders(RolloutOrders::from_snapshot(
+            updates.push(Update::Orders(RolloutOrders::from_snapshot(
                 StoreVersion(version),
                 [row],
             )));
         } else {
-            let record = record(order, stage_of(*number));
-            words.push(Word::Record(record, StoreVersion(version)));
+            let record = record(order, nth_stage(*number));
+            updates.push(Update::Record(record, StoreVersion(version)));
         }
     }
-    words
+    updates
 }
 
-fn tell(rollouts: &mut Rollouts<u32>, word: &Word) {
-    match word {
-        Word::Orders(orders) => {
+fn apply(rollouts: &mut Rollouts<u32>, update: &Update) {
+    match update {
+        Update::Orders(orders) => {
             rollouts.merge_orders(orders, 0.5, 0);
         }
-        Word::Record(record, version) => {
+        Update::Record(record, version) => {
             rollouts.merge_record(&pool(), record.clone(), *version, 0);
         }
     }
@@ -680,22 +674,21 @@
     #![proptest_config(proptest::prelude::ProptestConfig { failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(21), ..Default::default() })]
 
-    /// Words that come in any order, twice or not until the end: all hosts believe in
-    /// the end what the store holds.
+    /// Guards against hosts that disagree after late, duplicate or reordered updates.
     #[test]
-    fn hosts_agree_whatever_order_word_comes_in(
+    fn hosts_agree_after_updates_in_any_order(
         history in history(),
         order in prop::collection::vec(any::<usize>(), 0..40),
     ) {
-        let words = words(&history);
+        let updates = updates(&history);
         let mut in_order = rollouts();
-        words.iter().for_each(|word| tell(&mut in_order, word));
+        updates.iter().for_each(|update| apply(&mut in_order, update));
         let mut other = rollouts();
         for index in order {
-            tell(&mut other, &words[index % words.len()]);
+            apply(&mut other, &updates[index % updates.len()]);
         }
-        words.iter().rev().for_each(|word| tell(&mut other, word));
-        words.iter().for_each(|word| tell(&mut other, word));
+        updates.iter().rev().for_each(|update| apply(&mut other, update));
+        updates.iter().for_each(|update| apply(&mut other, update));
         proptest::prop_assert_eq!(other.stage(&pool()), in_order.stage(&pool()));
         proptest::prop_assert_eq!(other.order(&pool()), in_order.order(&pool()));
         proptest::prop_assert_eq!(
@@ -704,31 +697,31 @@
         );
     }
 
-    /// Counts that are told late, twice or in parts add up to what was seen.
+    /// Guards against miscounting when tallies arrive late, twice or in parts.
     #[test]
     fn evidence_counts_each_answer_once(
         answers in prop::collection::vec((0..4_u32, any::<bool>()), 0..60),
         order in prop::collection::vec(any::<usize>(), 0..80),
     ) {
         let mut tallies: BTreeMap<u32, Tally> = BTreeMap::new();
-        let mut told = Vec::new();
-        for (host, fails) in &answers {
+        let mut snapshots = Vec::new();
+        for (host, is_failure) in &answers {
             let tally = tallies.entry(*host).or_default();
-            let seen = if *fails { ObservedResponse::Failed } else { ENDED };
-            tally.record(&route(), BuildSide::New, seen);
-            told.push((*host, tally.clone()));
+            let response = if *is_failure { ObservedResponse::Failed } else { ENDED };
+            tally.record(&route(), BuildSide::New, response);
+            snapshots.push((*host, tally.clone()));
         }
         let mut evidence: Evidence<u32> = Evidence::default();
-        let tell = |evidence: &mut Evidence<u32>, (host, tally): &(u32, Tally)| {
+        let apply = |evidence: &mut Evidence<u32>, (host, tally): &(u32, Tally)| {
             let source = EvidenceSource::Host { host: *host, incarnation: 1 };
             for row in Vec::<TallyRow>::from(tally.clone()) {
                 evidence.merge(source, vec![row].into());
             }
         };
-        for index in order.iter().filter(|_| !told.is_empty()) {
-            tell(&mut evidence, &told[index % told.len()]);
+        for index in order.iter().filter(|_| !snapshots.is_empty()) {
+            apply(&mut evidence, &snapshots[index % snapshots.len()]);
         }
-        told.iter().for_each(|told| tell(&mut evidence, told));
+        snapshots.iter().for_each(|snapshot| apply(&mut evidence, snapshot));
         proptest::prop_assert_eq!(evidence.combined_tally().answers(BuildSide::New), answers.len() as u32);
     }
 }
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Routes and callers of one version of the rules.
+//! Lookups of routes, callers and pools in one version of the rules.
 
 use std::sync::Arc;
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn caller_by_any_of_its_keys() {
+fn caller_is_found_by_any_of_its_keys() {
     let rules = rules();
     for key in ["key-1", "key-2"] {
         let caller = rules.caller(key).expect("a known key");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn pool_by_weight() {
+fn pool_is_chosen_by_weight() {
     let rules = rules();
     let route = rules.route("a.example", "/chat/deep/").expect("a route");
     let of_p = (0..1_000).filter(|draw| route.pool_for(*draw).is_some_and(|p| p.as_str() == "p"));
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn pool_of_a_route_without_any() {
+fn pool_for_is_none_without_pools() {
     let rules = rules();
     let route = rules.route("b.example", "/chat/").expect("a route");
     assert_that!(route.pool_for(3), none());
 }
 
 #[test]
-fn admission_objective_is_no_longer_than_that_of_ranks_before() {
+fn admission_objective_does_not_exceed_that_of_higher_priority() {
     let ranked = |priority: u8, objective_ms: u64, pool: &str| Route {
         priority,
         objective_ms,
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn caller_rank_is_counted_from_the_first_organisation() {
+fn caller_priority_is_relative_to_the_first_organisation() {
     let organisation = |name: &str, priority: u8| OrganisationRules {
         name: name.into(),
         priority,
--- a/crates/routing/tests/rules_change.rs
+++ b/crates/routing/tests/rules_change.rs
@@ -1,4 +1,4 @@
-//! What one version of the rules changes of another.
+//! Differences between two versions of the rules, and their history.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,13 +38,13 @@
     }
 }
 
-/// A document of routes by name and rank, and of organisations by name and key.
+/// A document with routes by name and priority, and organisations by name and key.
 fn document(version: u64, routes: &[(&str, u8)], keys: &[(&str, &str)]) -> RulesDocument {
     RulesDocument {
         version: RulesVersion(version),
         routes: routes
             .iter()
-            .map(|(name, rank)| route(name, *rank))
+            .map(|(name, priority)| route(name, *priority))
             .collect(),
         organisations: keys
             .iter()
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn change_names_what_differs_and_leads_to_the_new_document() {
+fn change_counts_differences_and_yields_the_new_document() {
     let keys = [("desk", "key-2"), ("dispatch", "key-1")];
     let routes = [("a", 0), ("b", 0), ("c", 0)];
     let cases = [
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn change_of_limits_is_taken() {
+fn change_includes_limits() {
     let mut new = first();
     new.version = RulesVersion(2);
     new.limits.body_max_bytes = 7;
@@ -112,14 +112,11 @@
 }
 
 #[test]
-fn change_is_not_told_where_names_do_not_tell_it() {
+fn change_is_none_without_sorted_unique_names() {
     let keys = [("desk", "key-2"), ("dispatch", "key-1")];
     let cases = [
         ("out of order", document(2, &[("b", 0), ("a", 0)], &keys)),
-        (
-            "two share a name",
-            document(2, &[("a", 0), ("a", 1)], &keys),
-        ),
+        ("two of a name", document(2, &[("a", 0), ("a", 1)], &keys)),
     ];
     for (name, other) in cases {
         assert_that!(RulesChange::between(&first(), &other), none(), "{name}");
@@ -127,9 +124,9 @@
     }
 }
 
-/// An operator's new routes stand anywhere among the old ones.
+/// Guards against missing changes of documents whose order is arbitrary before sorting.
 #[test]
-fn change_is_told_of_documents_that_were_sorted() {
+fn change_is_found_after_sorting() {
     let mut new = document(2, &[("d", 0), ("b", 0), ("a", 0)], &[]);
     new.sort();
     let change = RulesChange::between(&first(), &new).expect("a change");
@@ -137,7 +134,7 @@
 }
 
 #[test]
-fn change_applies_to_the_version_it_was_taken_from_alone() {
+fn change_applies_only_to_its_base_version() {
     let new = document(2, &[], &[]);
     let change = RulesChange::between(&first(), &new).expect("a change");
     let other = document(3, &[("a", 0)], &[]);
@@ -145,27 +142,27 @@
 }
 
 #[test]
-fn change_between_any_documents_leads_to_the_new_one() {
+fn change_between_any_documents_yields_the_new_one() {
     let entries = || btree_map(0..12_u8, 0..3_u8, 0..12);
     let config = ProptestConfig {
         failure_persistence: None,
         ..ProptestConfig::default()
     };
-    proptest::proptest!(config, |(old in document_of(1, entries()), new in document_of(2, entries()))| {
+    proptest::proptest!(config, |(old in documents(1, entries()), new in documents(2, entries()))| {
         let change = RulesChange::between(&old, &new).expect("a change");
         assert_that!(change.apply(&old), some(eq(&new)));
     });
 }
 
-/// Documents whose routes have drawn names and ranks.
-fn document_of(
+/// Documents whose routes have random names and priorities.
+fn documents(
     version: u64,
     entries: impl Strategy<Value = BTreeMap<u8, u8>>,
 ) -> impl Strategy<Value = RulesDocument> {
     entries.prop_map(move |entries| {
         let routes = entries
             .iter()
-            .map(|(name, rank)| route(&name.to_string(), *rank));
+            .map(|(name, priority)| route(&name.to_string(), *priority));
         let mut document = RulesDocument {
             version: RulesVersion(version),
             routes: routes.collect(),
@@ -176,8 +173,8 @@
     })
 }
 
-/// More entries than any of these changes names.
-const MANY: usize = 1_000;
+/// More entries than any of these changes has.
+const MAX_ENTRIES: usize = 1_000;
 
 fn change(from: u64, to: u64) -> Arc<RulesChange> {
     let change = RulesChange::between(&document(from, &[], &[]), &document(to, &[], &[]));
@@ -185,12 +182,12 @@
 }
 
 #[test]
-fn since_gives_the_changes_that_lead_to_the_newest() {
+fn since_returns_the_changes_to_the_newest_version() {
     let mut history = RulesHistory::default();
     assert_that!(history.since(RulesVersion(1)), none());
     let changes = [change(1, 4), change(4, 5), change(5, 9)];
     for change in &changes {
-        history.push(change.clone(), MANY);
+        history.push(change.clone(), MAX_ENTRIES);
     }
     assert_that!(history.since(RulesVersion(1)), some(eq(&changes.to_vec())));
     assert_that!(
@@ -203,10 +200,10 @@
 }
 
 #[test]
-fn since_knows_of_nothing_before_a_gap() {
+fn since_returns_none_before_a_gap() {
     let mut history = RulesHistory::default();
-    history.push(change(1, 4), MANY);
-    history.push(change(6, 7), MANY);
+    history.push(change(1, 4), MAX_ENTRIES);
+    history.push(change(6, 7), MAX_ENTRIES);
     assert_that!(history.since(RulesVersion(1)), none());
     assert_that!(history.since(RulesVersion(6)), some(len(eq(1))));
     history.clear();
@@ -214,18 +211,18 @@
 }
 
 #[test]
-fn since_forgets_the_oldest_changes() {
+fn since_drops_the_oldest_changes() {
     let mut history = RulesHistory::default();
     for version in 1..=9 {
-        history.push(change(version, version + 1), MANY);
+        history.push(change(version, version + 1), MAX_ENTRIES);
     }
     assert_that!(history.since(RulesVersion(1)), none());
     assert_that!(history.since(RulesVersion(2)), some(len(eq(8))));
 }
 
-/// Each version gives all four routes another rank.
+/// Guards against a history larger than the whole document.
 #[test]
-fn since_keeps_no_more_than_the_whole_names() {
+fn since_keeps_no_more_entries_than_the_document() {
     let at = |version: u64| {
         let rank = version as u8;
         let routes = [("a", rank), ("b", rank), ("c", rank), ("d", rank)];
--- a/crates/routing/tests/shares.rs
+++ b/crates/routing/tests/shares.rs
@@ -1,10 +1,10 @@
-//! Shares of organisations.
+//! Shares of organisations in the requests in progress.
 
 use chalkrock_core::OrganisationId;
 use chalkrock_routing::Shares;
 use googletest::prelude::*;
 
-/// Shares with so many requests of each organisation.
+/// Shares with this many requests of each organisation.
 fn shares(counts: &[(&str, usize)]) -> Shares {
     let mut shares = Shares::default();
     for (name, count) in counts {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn is_over_by_twice_the_equal_share() {
+fn is_over_above_twice_the_equal_share() {
     let cases: [(&[(&str, usize)], bool); 5] = [
         (&[("a", 50)], false),
         (&[("a", 10), ("b", 10), ("c", 10)], false),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn end_gives_the_share_back() {
+fn end_releases_the_share() {
     let mut shares = shares(&[("a", 30), ("b", 5), ("c", 5)]);
     (0..30).for_each(|_| shares.end(&"a".into()));
     assert_that!(shares.is_over(&"a".into()), eq(false));
--- a/crates/routing/tests/spread.rs
+++ b/crates/routing/tests/spread.rs
@@ -1,11 +1,11 @@
-//! Placement: the prefix's endpoint under the bound, and what else.
+//! Placement: the home of the prefix within the load limit, and its alternatives.
 
 use chalkrock_core::rendezvous::{KeyHash, MemberHash};
 use chalkrock_routing::{Candidate, PlacementRequest, SpreadRules};
 use googletest::prelude::*;
 
-/// The index of the endpoint that is chosen.
-fn choose(
+/// Index of the chosen endpoint.
+fn place(
     candidates: &[Candidate],
     key: Option<KeyHash>,
     rules: &SpreadRules,
@@ -41,26 +41,26 @@
 }
 
 fn home(candidates: &[Candidate], key: KeyHash) -> usize {
-    choose(candidates, Some(key), &RULES, 0).expect("there is a candidate")
+    place(candidates, Some(key), &RULES, 0).expect("a candidate")
 }
 
 #[test]
-fn choose_nothing_of_nothing() {
-    assert_that!(choose(&[], Some(KeyHash(1)), &RULES, 0), none());
+fn choose_endpoint_returns_none_without_candidates() {
+    assert_that!(place(&[], Some(KeyHash(1)), &RULES, 0), none());
 }
 
 #[test]
-fn choose_the_same_home_on_every_host() {
+fn choose_endpoint_agrees_on_every_host() {
     let candidates = idle(18);
     for key in 0..50 {
         let first = home(&candidates, KeyHash(key));
-        let other = choose(&candidates, Some(KeyHash(key)), &RULES, 999);
+        let other = place(&candidates, Some(KeyHash(key)), &RULES, 999);
         assert_that!(other, some(eq(first)));
     }
 }
 
 #[test]
-fn choose_moves_only_what_a_new_endpoint_wins() {
+fn choose_endpoint_moves_prefixes_only_to_a_new_endpoint() {
     let before = idle(18);
     let after = idle(19);
     for key in 0..200 {
@@ -70,23 +70,23 @@
 }
 
 #[test]
-fn choose_keeps_the_home_up_to_the_bound_and_not_beyond() {
+fn choose_endpoint_keeps_the_home_up_to_the_limit() {
     let key = KeyHash(5);
     let mut candidates: Vec<Candidate> = (0..10).map(|i| candidate(i, 10)).collect();
     let home = home(&candidates, key);
     // Mean 10.8, limit 1.8 x 10.8 + 2 = 21.4.
     candidates[home].load = 18;
-    assert_that!(choose(&candidates, Some(key), &RULES, 0), some(eq(home)));
+    assert_that!(place(&candidates, Some(key), &RULES, 0), some(eq(home)));
     // Mean 11.2, limit 22.2: one more would be 23.
     candidates[home].load = 22;
     assert_that!(
-        choose(&candidates, Some(key), &RULES, 0),
+        place(&candidates, Some(key), &RULES, 0),
         some(not(eq(home)))
     );
 }
 
 #[test]
-fn choose_never_passes_the_bound_while_another_is_under_it() {
+fn choose_endpoint_stays_within_the_limit() {
     for seed in 0..200u32 {
         let loads = (0..12).map(|i| seed.wrapping_mul(2_654_435_761).rotate_left(i * 5) % 30);
         let candidates: Vec<Candidate> = loads
@@ -102,61 +102,61 @@
 }
 
 #[test]
-fn choose_spills_to_who_holds_the_prefix() {
+fn choose_endpoint_prefers_holders_of_the_prefix() {
     let key = KeyHash(5);
     let mut candidates: Vec<Candidate> = (0..10).map(|i| candidate(i, 10)).collect();
     let home = home(&candidates, key);
     candidates[home].load = 40;
     let holder = (home + 3) % 10;
     candidates[holder].holds_prefix = true;
-    assert_that!(choose(&candidates, Some(key), &RULES, 0), some(eq(holder)));
+    assert_that!(place(&candidates, Some(key), &RULES, 0), some(eq(holder)));
 }
 
 #[test]
-fn choose_leaves_suspects_while_others_are_sound() {
+fn choose_endpoint_avoids_suspects() {
     let key = KeyHash(5);
     let mut candidates = idle(4);
     let home = home(&candidates, key);
     candidates[home].is_suspect = true;
     assert_that!(
-        choose(&candidates, Some(key), &RULES, 0),
+        place(&candidates, Some(key), &RULES, 0),
         some(not(eq(home)))
     );
 }
 
 #[test]
-fn choose_a_suspect_if_all_are() {
+fn choose_endpoint_returns_a_suspect_if_all_are() {
     let mut candidates = idle(4);
     candidates.iter_mut().for_each(|c| c.is_suspect = true);
     assert_that!(
-        choose(&candidates, Some(KeyHash(5)), &RULES, 0),
+        place(&candidates, Some(KeyHash(5)), &RULES, 0),
         some(anything())
     );
 }
 
 #[test]
-fn choose_without_a_prefix_takes_the_least_loaded_by_slots() {
+fn choose_endpoint_without_a_prefix_returns_the_least_loaded() {
     let mut candidates = vec![candidate(0, 4), candidate(1, 5)];
     candidates[1].slots = 128;
-    assert_that!(choose(&candidates, None, &RULES, 0), some(eq(1)));
+    assert_that!(place(&candidates, None, &RULES, 0), some(eq(1)));
 }
 
 #[test]
-fn choose_without_a_prefix_takes_the_near_one_of_equals() {
+fn choose_endpoint_without_a_prefix_prefers_the_same_zone() {
     let mut candidates = idle(4);
     candidates[2].is_same_zone = true;
-    assert_that!(choose(&candidates, None, &RULES, 0), some(eq(2)));
+    assert_that!(place(&candidates, None, &RULES, 0), some(eq(2)));
 }
 
 #[test]
-fn choose_without_a_prefix_spreads_equals_by_the_draw() {
+fn choose_endpoint_without_a_prefix_breaks_ties_by_the_draw() {
     let candidates = idle(4);
-    let mut seen = [0u32; 4];
+    let mut counts = [0u32; 4];
     for draw in 0..400 {
-        let chosen = choose(&candidates, None, &RULES, draw).expect("there is one");
-        seen[chosen] += 1;
+        let chosen = place(&candidates, None, &RULES, draw).expect("a candidate");
+        counts[chosen] += 1;
     }
-    assert_that!(seen.to_vec(), each(gt(&50)));
+    assert_that!(counts.to_vec(), each(gt(&50)));
 }
 
 /// Candidates with 64 slots: the home of a key and nine others, by load.
@@ -167,94 +167,94 @@
     (home, candidates.collect())
 }
 
-/// In a pool that is full throughout, prefixes stay where they are held.
+/// Guards against spreading prefixes over a full pool whenever a slot becomes free.
 #[test]
-fn choose_the_home_of_a_full_pool_though_a_slot_came_free() {
+fn choose_endpoint_keeps_the_home_in_a_full_pool() {
     let key = KeyHash(5);
     for others_load in [60, 63, 66] {
         let (home, candidates) = home_and_others(key, 66, others_load);
-        let chosen = choose(&candidates, Some(key), &RULES, 1);
+        let chosen = place(&candidates, Some(key), &RULES, 1);
         assert_that!(chosen, some(eq(home)), "others have {others_load}");
     }
 }
 
 #[test]
-fn choose_for_a_full_home_one_with_slots_to_spare_that_holds_the_prefix() {
+fn choose_endpoint_prefers_holders_with_low_utilisation() {
     let key = KeyHash(5);
     let (home, mut candidates) = home_and_others(key, 64, 40);
-    let spilled = choose(&candidates, Some(key), &RULES, 1).expect("there is one");
+    let spilled = place(&candidates, Some(key), &RULES, 1).expect("a candidate");
     assert_that!(spilled, not(eq(home)));
     let holder = (0..10)
         .find(|&i| i != home && i != spilled)
-        .expect("there is one");
+        .expect("a candidate");
     candidates[holder].holds_prefix = true;
-    let chosen = choose(&candidates, Some(key), &RULES, 1);
+    let chosen = place(&candidates, Some(key), &RULES, 1);
     assert_that!(chosen, some(eq(holder)));
 }
 
 #[test]
-fn choose_a_free_slot_rather_than_a_long_queue_at_home() {
+fn choose_endpoint_prefers_a_free_slot_to_a_long_queue() {
     let key = KeyHash(5);
     let (home, candidates) = home_and_others(key, 80, 60);
-    let chosen = choose(&candidates, Some(key), &RULES, 1);
+    let chosen = place(&candidates, Some(key), &RULES, 1);
     assert_that!(chosen, some(not(eq(home))));
 }
 
-/// Many hosts before few endpoints whose requests are shorter than the age of
-/// the hosts' reports: what one decision costs the next ones.
+/// Guards against overload of single endpoints when requests are shorter than the age of
+/// the hosts' reports.
 mod stale_reports {
     use super::*;
     use rand::rngs::StdRng;
     use rand::{RngExt, SeedableRng};
     use std::collections::VecDeque;
 
-    /// Zones, whose hosts all hear the same sums at the same time.
+    /// Zones; the hosts of each receive the same aggregates at the same time.
     const ZONES: usize = 6;
     const ENDPOINTS: usize = 6;
     const SLOTS: u32 = 6;
-    /// Requests that an endpoint works on or queues; it turns away the rest.
-    const PLACES: usize = 30;
+    /// Requests that an endpoint runs or queues; it rejects the rest.
+    const MAX_REQUESTS: usize = 30;
     const ARRIVALS_PER_S: f64 = 450.0;
     const SERVICE_MS: f64 = 30.0;
-    const SECONDS: f64 = 30.0;
+    const DURATION_S: f64 = 30.0;
     const STEP_MS: usize = 10;
-    /// Sums are told so often, and are so old by then.
-    const ROUND_MS: usize = 200;
-    const TOLD_AGE_MS: usize = 200;
+    /// Interval of aggregates, and their age on arrival.
+    const INTERVAL_MS: usize = 200;
+    const DELAY_MS: usize = 200;
 
     #[derive(Debug, Default)]
     struct Outcome {
         requests: usize,
-        turned_away: usize,
+        rejected: usize,
         queued: usize,
     }
 
-    /// Plays the pool step by step. Hosts see all loads as their zone was last
-    /// told, and expect `unseen` arrivals since.
-    fn play(unseen: f64) -> Outcome {
+    /// Simulates the pool. Hosts use the last loads that their zone received and assume
+    /// `unreported` arrivals since.
+    fn simulate(unreported: f64) -> Outcome {
         let mut random = StdRng::seed_from_u64(295);
-        let phases: Vec<usize> = (0..ZONES).map(|zone| zone * ROUND_MS / ZONES).collect();
+        let phases: Vec<usize> = (0..ZONES).map(|zone| zone * INTERVAL_MS / ZONES).collect();
         let mut running: Vec<VecDeque<f64>> = vec![VecDeque::new(); ENDPOINTS];
-        let mut past: VecDeque<Vec<u32>> = VecDeque::new();
+        let mut history: VecDeque<Vec<u32>> = VecDeque::new();
         let mut outcome = Outcome::default();
         let exponential =
             |random: &mut StdRng, mean: f64| -mean * (1.0 - random.random::<f64>()).ln();
         let mut next_ms = 0.0;
-        for step in 0..(SECONDS * 1_000.0) as usize / STEP_MS {
+        for step in 0..(DURATION_S * 1_000.0) as usize / STEP_MS {
             let now_ms = (step * STEP_MS) as f64;
-            for of_endpoint in &mut running {
-                of_endpoint.retain(|&ends_ms| ends_ms > now_ms);
+            for queue in &mut running {
+                queue.retain(|&ends_ms| ends_ms > now_ms);
             }
-            past.push_front(running.iter().map(|all| all.len() as u32).collect());
-            past.truncate((ROUND_MS + TOLD_AGE_MS) / STEP_MS + 1);
+            history.push_front(running.iter().map(|all| all.len() as u32).collect());
+            history.truncate((INTERVAL_MS + DELAY_MS) / STEP_MS + 1);
             while next_ms < now_ms + STEP_MS as f64 {
                 next_ms += exponential(&mut random, 1_000.0 / ARRIVALS_PER_S);
                 outcome.requests += 1;
                 let zone = random.random_range(0..ZONES);
-                let since_round_ms = (step * STEP_MS + phases[zone]) % ROUND_MS;
-                let age = (TOLD_AGE_MS + since_round_ms) / STEP_MS;
-                let seen = &past[age.min(past.len() - 1)];
-                let candidates: Vec<Candidate> = seen
+                let since_update_ms = (step * STEP_MS + phases[zone]) % INTERVAL_MS;
+                let age = (DELAY_MS + since_update_ms) / STEP_MS;
+                let reported = &history[age.min(history.len() - 1)];
+                let candidates: Vec<Candidate> = reported
                     .iter()
                     .enumerate()
                     .map(|(i, &load)| Candidate {
@@ -264,49 +264,47 @@
                     .collect();
                 let request = PlacementRequest {
                     key: None,
-                    unreported_arrivals: unseen,
+                    unreported_arrivals: unreported,
                     draw: random.random(),
                 };
-                let placed = chalkrock_routing::choose_endpoint(&candidates, &request, &RULES);
-                let of_endpoint = &mut running[placed.expect("there is one").index];
-                if of_endpoint.len() >= PLACES {
-                    outcome.turned_away += 1;
+                let placement = chalkrock_routing::choose_endpoint(&candidates, &request, &RULES);
+                let queue = &mut running[placement.expect("a candidate").index];
+                if queue.len() >= MAX_REQUESTS {
+                    outcome.rejected += 1;
                     continue;
                 }
-                let waits_for = of_endpoint.len().checked_sub(SLOTS as usize);
-                outcome.queued += usize::from(waits_for.is_some());
-                let mut ends: Vec<f64> = of_endpoint.iter().copied().collect();
+                let queue_position = queue.len().checked_sub(SLOTS as usize);
+                outcome.queued += usize::from(queue_position.is_some());
+                let mut ends: Vec<f64> = queue.iter().copied().collect();
                 ends.sort_by(f64::total_cmp);
-                let starts_ms = waits_for.map_or(now_ms, |place| ends[place]);
-                of_endpoint.push_back(starts_ms + exponential(&mut random, SERVICE_MS));
+                let starts_ms = queue_position.map_or(now_ms, |position| ends[position]);
+                queue.push_back(starts_ms + exponential(&mut random, SERVICE_MS));
             }
         }
         outcome
     }
 
     #[test]
-    fn spread_over_few_endpoints_by_stale_reports() {
-        let mean_age_s = (TOLD_AGE_MS + ROUND_MS / 2) as f64 / 1_000.0;
-        let by_reports_alone = play(0.0);
-        let with_unseen = play(ARRIVALS_PER_S * mean_age_s);
-        // Queued: 4,979 of 13,385 by reports alone, 435 of 13,464 with what is
-        // unseen; turned away: 27 and none.
-        assert_that!(by_reports_alone.queued, gt(by_reports_alone.requests / 4));
-        assert_that!(by_reports_alone.turned_away, gt(0));
-        assert_that!(with_unseen.turned_away, eq(0));
-        assert_that!(with_unseen.queued, lt(with_unseen.requests / 20));
+    fn spread_by_stale_reports_includes_unreported_arrivals() {
+        let mean_age_s = (DELAY_MS + INTERVAL_MS / 2) as f64 / 1_000.0;
+        let stale = simulate(0.0);
+        let corrected = simulate(ARRIVALS_PER_S * mean_age_s);
+        assert_that!(stale.queued, gt(stale.requests / 4));
+        assert_that!(stale.rejected, gt(0));
+        assert_that!(corrected.rejected, eq(0));
+        assert_that!(corrected.queued, lt(corrected.requests / 20));
     }
 
     #[test]
-    fn spread_by_current_reports_takes_the_least_loaded() {
+    fn spread_by_current_reports_returns_the_least_loaded() {
         let candidates = [candidate(0, 5), candidate(1, 2), candidate(2, 9)];
         for draw in 0..50 {
-            assert_that!(choose(&candidates, None, &RULES, draw), some(eq(1)));
+            assert_that!(place(&candidates, None, &RULES, draw), some(eq(1)));
         }
     }
 
     #[test]
-    fn spread_fills_the_least_loaded_first_and_prefers_near_ones() {
+    fn spread_fills_the_least_loaded_first_and_prefers_the_same_zone() {
         let mut candidates = [candidate(0, 40), candidate(1, 8), candidate(2, 8)];
         candidates[2].is_same_zone = true;
         let mut chosen = [0; 3];
@@ -317,11 +315,10 @@
                 unreported_arrivals: 31.0,
                 draw: random.random(),
             };
-            let placed = chalkrock_routing::choose_endpoint(&candidates, &request, &RULES);
-            chosen[placed.expect("there is one").index] += 1;
+            let placement = chalkrock_routing::choose_endpoint(&candidates, &request, &RULES);
+            chosen[placement.expect("a candidate").index] += 1;
         }
-        // 32 arrivals on 128 slots, the near endpoint 16 below the other: 8
-        // and 24.
+        // 32 arrivals on 128 slots, with a bonus of 16 in the same zone: 8 and 24.
         assert_that!(chosen[0], eq(0));
         assert_that!(chosen[1], all!(gt(2_300), lt(2_700)));
         assert_that!(chosen[2], all!(gt(7_300), lt(7_700)));
--- a/crates/routing/tests/suspension.rs
+++ b/crates/routing/tests/suspension.rs
@@ -1,11 +1,11 @@
-//! Pauses of a host by two readings of its clocks.
+//! Detection of suspensions from two clock readings.
 
 use chalkrock_routing::{ClockReading, Suspension, detect_suspension};
 use googletest::prelude::*;
 
-const DUE_MS: u64 = 200;
+const TIMER_MS: u64 = 200;
 
-fn pause(steady_ms: u64, boot_ms: u64) -> Option<Suspension> {
+fn suspension(steady_ms: u64, boot_ms: u64) -> Option<Suspension> {
     let before = ClockReading {
         steady_ms: 1_000,
         boot_ms: 90_000,
@@ -14,21 +14,21 @@
         steady_ms: before.steady_ms + steady_ms,
         boot_ms: before.boot_ms + boot_ms,
     };
-    detect_suspension(before, after, DUE_MS)
+    detect_suspension(before, after, TIMER_MS)
 }
 
 #[test]
-fn suspensions_are_detected_as_the_table_says() {
+fn detect_suspension_follows_the_table() {
     let cases = [
         ("on time", 200, 200, None),
         ("sooner", 3, 3, None),
         ("a loaded host", 1_100, 1_100, None),
-        ("clocks read apart", 200, 320, None),
+        ("clocks read in turn", 200, 320, None),
         ("stopped", 6_200, 6_200, Some((6_000, 0))),
         ("suspended", 200, 10_200, Some((10_000, 10_000))),
         ("suspended for a moment", 200, 700, Some((500, 500))),
         (
-            "suspended just as a request came",
+            "suspended as a request arrived",
             1,
             1_001,
             Some((1_000, 1_000)),
@@ -42,8 +42,8 @@
         ),
     ];
     for (name, steady_ms, boot_ms, expected) in cases {
-        let found = pause(steady_ms, boot_ms);
-        let found = found.map(|pause| (pause.duration_ms, pause.uncounted_ms));
+        let found = suspension(steady_ms, boot_ms);
+        let found = found.map(|found| (found.duration_ms, found.uncounted_ms));
         assert_that!(found, eq(expected), "{name}");
     }
 }
