--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -13,8 +13,8 @@
 //! is sufficient.
 
 mod api;
+mod membership;
 mod message;
-mod peer_table;
 mod publish;
 mod pull;
 mod receive;
@@ -24,7 +24,7 @@
 mod uploads;
 
 pub(crate) use api::KnownBuilds;
-pub(crate) use peer_table::{PeerTable, zone_hash};
+pub(crate) use membership::{PeerTable, zone_hash};
 pub(crate) use publish::publish;
 pub(crate) use pull::{catch_up_with_any, pull_at_start, pull_when_outdated};
 pub(crate) use receive::receive;
--- a/crates/gateway/src/peers/publish.rs
+++ b/crates/gateway/src/peers/publish.rs
@@ -9,10 +9,10 @@
 use tokio::time::MissedTickBehavior;
 
 use crate::event_log::Event;
+use crate::peers::membership::{PeerChange, PeerTable, host_hash};
 use crate::peers::message::{
     CacheEntries, Datagram, Heartbeat, RelaySummary, StateDigest, ZoneSummary,
 };
-use crate::peers::peer_table::{PeerChange, PeerTable, host_hash};
 use crate::peers::rollouts::rollout_datagrams;
 use crate::peers::round::{GossipRound, RoundInput};
 use crate::shared::Shared;
--- a/crates/gateway/src/peers/receive.rs
+++ b/crates/gateway/src/peers/receive.rs
@@ -8,10 +8,10 @@
 use tokio::net::UdpSocket;
 
 use crate::outage_log::OutageLog;
+use crate::peers::membership::PeerTable;
 use crate::peers::message::{
     CacheEntries, Datagram, Heartbeat, RelaySummary, StateDigest, ZoneSummary,
 };
-use crate::peers::peer_table::PeerTable;
 use crate::peers::publish::log_peer_change;
 use crate::peers::rollouts::{merge_rollout_update, merge_tally};
 use crate::shared::Shared;
--- a/crates/gateway/src/peers/rollouts.rs
+++ b/crates/gateway/src/peers/rollouts.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::Fleet;
+use crate::peers::membership::PeerTable;
 use crate::peers::message::Datagram;
-use crate::peers::peer_table::PeerTable;
 use crate::rollouts::KnownRecord;
 use crate::shared::Shared;
 
--- a/crates/gateway/src/peers/round.rs
+++ b/crates/gateway/src/peers/round.rs
@@ -16,8 +16,8 @@
 use rand::seq::IndexedRandom;
 use tokio::time::Instant;
 
+use crate::peers::membership::{Peer, PeerChange, PeerTable, host_hash, mark_silent};
 use crate::peers::message::{HostContact, ZoneMember};
-use crate::peers::peer_table::{Peer, PeerChange, PeerTable, host_hash, mark_silent};
 
 /// Interval between heartbeats to a host that is down.
 const SILENT_RESEND_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -49,10 +49,13 @@
 mod fingerprint;
 mod fleet_load;
 mod fleet_totals;
+mod follow_times;
 mod health;
 mod in_flight;
+mod pause;
 mod poison;
 mod prefix_directory;
+mod readers;
 mod rollout;
 mod route;
 mod rules;
@@ -60,9 +63,6 @@
 mod shares;
 mod spread;
 mod store_version;
-mod subscribers;
-mod subscription_timings;
-mod suspension;
 mod zone_loads;
 
 pub use admission::{
@@ -80,13 +80,18 @@
 pub use fingerprint::{RequestContent, RequestFingerprint};
 pub use fleet_load::{FleetLoad, HostReport, MergeOutcome};
 pub use fleet_totals::ReportId;
+pub use follow_times::SubscriptionTimings;
 pub use health::{EndpointHealth, HealthSignal};
 pub use in_flight::{EndpointCount, MAX_REPORT_AGE_MS, REPORT_INTERVAL_MS};
+pub use pause::{ClockReading, Suspension, detect_suspension};
 pub use poison::{
     LONG_RUN_MS, MAX_CRASHES, POISON_RETENTION_MS, PoisonEvidence, PoisonRequest, PoisonUpdate,
     PoisonVerdict,
 };
 pub use prefix_directory::{CacheEntry, PrefixDirectory};
+pub use readers::{
+    RELAYS_PER_ZONE, SubscriptionRole, ZonePeer, ZoneView, stale_poll_fraction, subscribers_needed,
+};
 pub use rollout::{
     BAD_LOG_ODDS, BuildAssessment, BuildFilter, BuildRequest, BuildSide, BuildUse, Evidence,
     EvidenceSource, Exposure, ExposureBound, Measure, MoveSchedule, ObservedResponse, PoolBuilds,
@@ -101,9 +106,4 @@
 pub use shares::Shares;
 pub use spread::{Basis, Candidate, Placement, PlacementRequest, SpreadRules, choose_endpoint};
 pub use store_version::StoreVersion;
-pub use subscribers::{
-    RELAYS_PER_ZONE, SubscriptionRole, ZonePeer, ZoneView, stale_poll_fraction, subscribers_needed,
-};
-pub use subscription_timings::SubscriptionTimings;
-pub use suspension::{ClockReading, Suspension, detect_suspension};
 pub use zone_loads::{AggregatePath, HashRange, ZoneAggregate};
