--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Guards against rejecting short calls by queue length: theirs clears in time.
+/// Guards against rejecting short calls by queue length: their queue clears in time.
 #[test]
 fn admit_probability_depends_on_wait_rather_than_queue_length() {
     let call = request(0, 300);
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -123,7 +123,7 @@
     assert_that!(backoffs.is_empty(), eq(true));
 }
 
-/// Guards against losing requests without a retry on an endpoint that may still reject.
+/// Guards against losing requests that cannot be retried if the endpoint rejects them.
 #[test]
 fn ramp_up_begins_with_requests_that_can_be_retried() {
     let mut backoffs = Backoffs::default();
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -220,7 +220,7 @@
         restarts in prop::collection::vec((any::<prop::sample::Index>(), 0..COLD_MS), 0..6),
     ) {
         let bound = bound(1.5, slack);
-        // The share has capacity for no more new hosts.
+        // The share allows for no more new hosts.
         let share = ColdShare::new(&bound, sustained_per_s, count);
         let new_hosts = &new_hosts[..new_hosts.len().min(1 + share.senders / 3)];
         let sent = simulate_senders(bound, sustained_per_s, count, new_hosts, &restarts);
--- a/crates/routing/tests/fleet_load.rs
+++ b/crates/routing/tests/fleet_load.rs
@@ -388,7 +388,7 @@
         reports in proptest::collection::vec((0..3u8, 1..3u64, 0..20u64, 0..9u32), 1..30),
         order in proptest::collection::vec(any::<proptest::sample::Index>(), 60),
     ) {
-        // An incarnation and sequence number identify one report: the first one listed.
+        // Of several reports with one incarnation and sequence, only the first is used.
         let mut unique = std::collections::BTreeMap::new();
         for (host, incarnation, sequence, count) in reports {
             unique.entry((host, incarnation, sequence)).or_insert(count);
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -93,7 +93,7 @@
     assert_that!(health.is_silent(1_000, 2_600), eq(true));
 }
 
-/// Guards against one silence that many requests report extending the suspicion.
+/// Guards against extending the suspicion for each request that reports the same silence.
 #[test]
 fn health_counts_silences_that_began_together_once() {
     let mut health = EndpointHealth::default();
--- a/crates/routing/tests/rules_change.rs
+++ b/crates/routing/tests/rules_change.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// Guards against missing changes of documents whose order is arbitrary before sorting.
+/// Guards against documents that cannot be compared after sorting.
 #[test]
 fn change_is_found_after_sorting() {
     let mut new = document(2, &[("d", 0), ("b", 0), ("a", 0)], &[]);
