--- a/crates/agent/src/slots.rs
+++ b/crates/agent/src/slots.rs
@@ -6,8 +6,8 @@
 
 use chalkrock_core::rendezvous::MemberHash;
 use chalkrock_core::{
-    Endpoint, EndpointId, FleetConfig, Holder, HostId, HostLoad, HostState, LoadEntry,
-    Organisation, OrganisationKey, OwnedEngine, Owner, Pool, PoolId, PoolKind, SlotDecision,
+    Endpoint, EndpointId, FleetConfig, HostId, HostLoad, HostState, LoadEntry, Organisation,
+    OrganisationKey, OwnedEngine, Owner, Pool, PoolId, PoolKind, SlotDecision, SlotHolder,
     SlotRules, Weights, owner_index,
 };
 use chalkrock_proto::{LoadBody, SlotAnswer, SlotAsk, SlotCount};
@@ -38,8 +38,8 @@
     Weights::new(config.organisations.iter().map(weight).collect())
 }
 
-fn holder_of(host: &HostId, organisation: u32) -> Holder<HostKey> {
-    Holder {
+fn holder_of(host: &HostId, organisation: u32) -> SlotHolder<HostKey> {
+    SlotHolder {
         host: short_hash(host.as_str()),
         organisation: OrganisationKey(organisation),
     }
@@ -158,7 +158,7 @@
             entry.owner.set_rules(self.rules(pool));
         }
         entry.owner.set_weights(weights.clone());
-        entry.owner.take_view(hosts, &owned, &others, now_ms);
+        entry.owner.apply_view(hosts, &owned, &others, now_ms);
     }
 
     fn rules(&self, pool: &Pool) -> SlotRules {
@@ -166,7 +166,7 @@
             settle_ms: self.settle_ms,
             // An engine's weight is the number of its slots.
             capacity: 1.0,
-            ..SlotRules::promising(pool.load_multiple)
+            ..SlotRules::for_load_multiple(pool.load_multiple)
         }
     }
 
@@ -191,7 +191,11 @@
         }
     }
 
-    fn ask_now(&self, ask: SlotAsk, holder: Holder<HostKey>) -> (SlotAnswer, Option<Arc<Notify>>) {
+    fn ask_now(
+        &self,
+        ask: SlotAsk,
+        holder: SlotHolder<HostKey>,
+    ) -> (SlotAnswer, Option<Arc<Notify>>) {
         let engine = ask.engine;
         let now_ms = self.now_ms();
         let mut state = self.state();
@@ -206,9 +210,9 @@
         };
         if ask.sampled_mean_thousandths > 0 {
             pool.owner
-                .take_sample(f64::from(ask.sampled_mean_thousandths) / 1_000.0);
+                .record_sample(f64::from(ask.sampled_mean_thousandths) / 1_000.0);
         }
-        let answer = match pool.owner.ask(&engine, holder, now_ms) {
+        let answer = match pool.owner.request_slot(&engine, holder, now_ms) {
             Some(SlotDecision::Granted { load }) => SlotAnswer::Granted { in_progress: load },
             Some(SlotDecision::AtBound { load }) => SlotAnswer::AtBound { in_progress: load },
             Some(SlotDecision::OverShare { load }) => SlotAnswer::OverShare { in_progress: load },
@@ -231,7 +235,7 @@
             let Some((owner, freed)) = state.owner_of(*engine) else {
                 continue;
             };
-            owner.give_back(engine, &holder, *count, now_ms);
+            owner.return_slots(engine, &holder, *count, now_ms);
             (0..*count).for_each(|_| freed.notify_one());
         }
     }
@@ -242,7 +246,7 @@
         let holder = short_hash(holder.as_str());
         let now_ms = self.now_ms();
         for pool in self.state().pools.values_mut() {
-            pool.owner.host_gone(&holder, now_ms);
+            pool.owner.remove_host(&holder, now_ms);
         }
     }
 
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -107,7 +107,7 @@
 
     async fn handle(&mut self, TakeHosts(list): TakeHosts, _: &mut Context<Self, ()>) {
         let first = self.published.borrow().hosts.is_none();
-        if self.members.absorb(&list) || first {
+        if self.members.merge(&list) || first {
             self.publish_hosts();
         }
     }
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -11,7 +11,7 @@
 use crate::outcome::{Outcome, Reason};
 
 /// Longest idempotency key that is taken.
-pub const CLAIM_KEY_MAX_BYTES: usize = 255;
+pub const MAX_CLAIM_KEY_BYTES: usize = 255;
 /// A claim still running this long after its deadline is of unknown outcome.
 const OVERDUE_MS: u64 = 5_000;
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -12,9 +12,9 @@
 
 /// The smallest load multiple a pool may promise. Below it, requests are
 /// refused for want of a place while engines stand idle.
-pub const LOAD_MULTIPLE_MIN: f64 = 1.05;
+pub const MIN_LOAD_MULTIPLE: f64 = 1.05;
 /// The largest load multiple that still says something.
-pub const LOAD_MULTIPLE_MAX: f64 = 10.0;
+pub const MAX_LOAD_MULTIPLE: f64 = 10.0;
 /// Length of a SHA-256 digest in hexadecimal digits.
 const KEY_DIGEST_DIGITS: usize = 64;
 
@@ -116,7 +116,7 @@
     }
 
     /// The pool that serves a model, if any.
-    pub fn pool_of_model(&self, model: &str) -> Option<&Pool> {
+    pub fn pool_for_model(&self, model: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| match &pool.kind {
             PoolKind::Engines { models } => models.iter().any(|m| m.as_str() == model),
             PoolKind::Service { .. } => false,
@@ -124,14 +124,14 @@
     }
 
     /// The pool of a plain service, if any.
-    pub fn pool_of_service(&self, name: &str) -> Option<&Pool> {
+    pub fn pool_for_service(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| {
             matches!(pool.kind, PoolKind::Service { .. }) && pool.name.as_str() == name
         })
     }
 
     /// The organisation that holds a key, by the key's digest.
-    pub fn organisation_of_key(&self, digest: &str) -> Option<&Organisation> {
+    pub fn organisation_for_key(&self, digest: &str) -> Option<&Organisation> {
         self.organisations
             .iter()
             .find(|org| org.key_sha256.iter().any(|known| known == digest))
@@ -186,8 +186,8 @@
                     "a name of its own",
                 ));
             }
-            if !(LOAD_MULTIPLE_MIN..=LOAD_MULTIPLE_MAX).contains(&pool.load_multiple) {
-                let expected = format!("{LOAD_MULTIPLE_MIN} to {LOAD_MULTIPLE_MAX}");
+            if !(MIN_LOAD_MULTIPLE..=MAX_LOAD_MULTIPLE).contains(&pool.load_multiple) {
+                let expected = format!("{MIN_LOAD_MULTIPLE} to {MAX_LOAD_MULTIPLE}");
                 return Err(Error::new(
                     ErrorKind::Range,
                     place("load_multiple"),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,13 +12,13 @@
 //! unless the fourth wins it:
 //!
 //! ```
-//! use chalkrock_core::rendezvous::{first, KeyHash, MemberHash};
+//! use chalkrock_core::rendezvous::{top_ranked, KeyHash, MemberHash};
 //!
 //! let names = ["engine-a", "engine-b", "engine-c", "engine-d"];
 //! let members = names.map(|name| (MemberHash::of(name), 1.0));
 //! let chat = KeyHash::of(b"organisation-1/chat-7");
-//! let before = first(chat, members[..3].iter().copied()).unwrap();
-//! let after = first(chat, members).unwrap();
+//! let before = top_ranked(chat, members[..3].iter().copied()).unwrap();
+//! let after = top_ranked(chat, members).unwrap();
 //! assert!(after == before || after == 3);
 //! ```
 
@@ -40,8 +40,8 @@
 mod stream;
 mod token;
 
-pub use claims::{CLAIM_KEY_MAX_BYTES, ClaimDecision, ClaimRow, ClaimState, claim_row_key};
-pub use config::{FleetConfig, LOAD_MULTIPLE_MAX, LOAD_MULTIPLE_MIN, Organisation, Pool, PoolKind};
+pub use claims::{ClaimDecision, ClaimRow, ClaimState, MAX_CLAIM_KEY_BYTES, claim_row_key};
+pub use config::{FleetConfig, MAX_LOAD_MULTIPLE, MIN_LOAD_MULTIPLE, Organisation, Pool, PoolKind};
 pub use error::{Error, ErrorKind};
 pub use hosts::{Endpoint, EndpointKind, Host, HostList, HostState};
 pub use ids::{
@@ -54,12 +54,13 @@
 pub use outcome::{Outcome, Reason};
 pub use owner::{Authority, OwnedEngine, Owner, owner_index};
 pub use placement::{
-    AskAnswer, Home, PlaceOption, Placement, PlacementRules, Step, has_own_room, local_choice,
+    EngineCandidate, Home, Placement, PlacementRules, PlacementStep, SlotResponse, choose_locally,
+    has_local_capacity,
 };
 pub use retry::RetryBudget;
 pub use slots::{
-    AskContext, EngineSlots, Holder, MEAN_FLOOR, OPEN_SHARE, OrganisationKey, SlotDecision,
-    SlotRules, Weights,
+    EngineSlots, MEAN_FLOOR, OPEN_LOAD_RATIO, OrganisationKey, SlotDecision, SlotHolder,
+    SlotRequestContext, SlotRules, Weights,
 };
 pub use stream::{Arrival, StreamOrder};
 pub use token::{HomeHint, StreamPlace, TokenKey};
--- a/crates/core/src/load_table.rs
+++ b/crates/core/src/load_table.rs
@@ -57,7 +57,7 @@
     const STEP: f64 = 1.0 / 16.0;
 
     /// Takes one engine's load by unit of weight.
-    pub fn sample(&mut self, load: f64) {
+    pub fn record(&mut self, load: f64) {
         let step = Self::STEP.max(1.0 / f64::from(self.samples + 1));
         self.mean += step * (load - self.mean);
         self.samples = self.samples.saturating_add(1);
@@ -77,7 +77,7 @@
 /// use chalkrock_core::{HostLoad, LoadTable};
 ///
 /// let mut table = LoadTable::new("host-1");
-/// table.set_own(HostLoad { in_progress: 12, weight: 2.0 }, 0);
+/// table.set_local(HostLoad { in_progress: 12, weight: 2.0 }, 0);
 /// assert_eq!(table.mean(0), 6.0);
 /// ```
 #[derive(Clone, Debug)]
@@ -105,7 +105,7 @@
     }
 
     /// Sets this host's own total.
-    pub fn set_own(&mut self, load: HostLoad, now_ms: u64) {
+    pub fn set_local(&mut self, load: HostLoad, now_ms: u64) {
         self.entries.insert(
             self.own.clone(),
             Known {
@@ -162,7 +162,7 @@
 
     /// Forgets hosts that are not in the view: others own their engines now,
     /// and count them.
-    pub fn keep_only(&mut self, hosts: &[H]) {
+    pub fn retain_hosts(&mut self, hosts: &[H]) {
         self.hosts = hosts.iter().cloned().collect();
         let Self {
             own,
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -21,7 +21,7 @@
 /// use chalkrock_core::{HostList, Membership};
 ///
 /// let mut members = Membership::default();
-/// assert!(!members.absorb(&HostList::default()));
+/// assert!(!members.merge(&HostList::default()));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
@@ -34,13 +34,13 @@
 
 impl Membership {
     /// Merges a list from the platform. Returns whether anything changed.
-    pub fn absorb(&mut self, list: &HostList) -> bool {
+    pub fn merge(&mut self, list: &HostList) -> bool {
         let mut changed = false;
         for host in &list.hosts {
-            changed |= self.absorb_host(host);
+            changed |= self.merge_host(host);
         }
         for endpoint in &list.endpoints {
-            changed |= self.absorb_endpoint(endpoint);
+            changed |= self.merge_endpoint(endpoint);
         }
         changed | self.drop_unlisted(list)
     }
@@ -71,7 +71,7 @@
         HostList { hosts, endpoints }
     }
 
-    fn absorb_host(&mut self, host: &Host) -> bool {
+    fn merge_host(&mut self, host: &Host) -> bool {
         if self
             .departed_hosts
             .get(&host.name)
@@ -95,7 +95,7 @@
         true
     }
 
-    fn absorb_endpoint(&mut self, endpoint: &Endpoint) -> bool {
+    fn merge_endpoint(&mut self, endpoint: &Endpoint) -> bool {
         let departed = self.departed_endpoints.get(&endpoint.name);
         if departed.is_some_and(|gone| *gone >= endpoint.incarnation) {
             return false;
--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -16,8 +16,8 @@
 use std::hash::Hash;
 
 use crate::load_table::{HostLoad, LoadSampler, LoadTable};
-use crate::rendezvous::{KeyHash, MemberHash, first};
-use crate::slots::{AskContext, EngineSlots, Holder, SlotDecision, SlotRules, Weights};
+use crate::rendezvous::{KeyHash, MemberHash, top_ranked};
+use crate::slots::{EngineSlots, SlotDecision, SlotHolder, SlotRequestContext, SlotRules, Weights};
 
 /// Hosts seen in this time count when a host asks whether it sees enough.
 const RECENT_MS: u64 = 60_000;
@@ -34,7 +34,7 @@
 
 /// The index of the host that owns an engine, `None` if there are no hosts.
 pub fn owner_index(engine: MemberHash, hosts: &[MemberHash]) -> Option<usize> {
-    first(KeyHash(engine.0), hosts.iter().map(|host| (*host, 1.0)))
+    top_ranked(KeyHash(engine.0), hosts.iter().map(|host| (*host, 1.0)))
 }
 
 /// An engine of the view, as its owner needs it.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Authority {
     /// It sees most hosts.
-    Whole,
+    Full,
     /// It sees just half of them.
     Shared,
     /// It sees fewer.
@@ -84,15 +84,15 @@
 ///
 /// ```
 /// use chalkrock_core::{
-///     Holder, OrganisationKey, OwnedEngine, Owner, SlotDecision, SlotRules,
+///     SlotHolder, OrganisationKey, OwnedEngine, Owner, SlotDecision, SlotRules,
 /// };
 ///
-/// let rules = SlotRules { settle_ms: 0, ..SlotRules::promising(1.25) };
+/// let rules = SlotRules { settle_ms: 0, ..SlotRules::for_load_multiple(1.25) };
 /// let mut owner = Owner::new("host-1", rules);
-/// owner.take_view(&["host-1"], &[OwnedEngine { engine: "e", weight: 1.0 }], &[], 0);
-/// let holder = Holder { host: "host-1", organisation: OrganisationKey(7) };
-/// assert_eq!(owner.ask(&"e", holder, 5), Some(SlotDecision::Granted { load: 1 }));
-/// assert_eq!(owner.ask(&"other", holder, 5), None);
+/// owner.apply_view(&["host-1"], &[OwnedEngine { engine: "e", weight: 1.0 }], &[], 0);
+/// let holder = SlotHolder { host: "host-1", organisation: OrganisationKey(7) };
+/// assert_eq!(owner.request_slot(&"e", holder, 5), Some(SlotDecision::Granted { load: 1 }));
+/// assert_eq!(owner.request_slot(&"other", holder, 5), None);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Owner<H, E> {
@@ -139,8 +139,8 @@
 
     /// Takes a new view over: the live hosts, the engines that this host owns
     /// among them, and those that others own, whose ledgers end here.
-    pub fn take_view(&mut self, hosts: &[H], owned: &[OwnedEngine<E>], others: &[E], now_ms: u64) {
-        if !self.hosts.is_empty() && self.authority_by_view(now_ms) != Authority::Whole {
+    pub fn apply_view(&mut self, hosts: &[H], owned: &[OwnedEngine<E>], others: &[E], now_ms: u64) {
+        if !self.hosts.is_empty() && self.authority_by_view(now_ms) != Authority::Full {
             self.shared_until_ms = now_ms + self.rules.settle_ms + self.rules.report_lag_max_ms;
         }
         let before = self.take_hosts(hosts, now_ms);
@@ -175,7 +175,7 @@
     /// Takes the hosts of a view over, and gives those of the one before.
     fn take_hosts(&mut self, hosts: &[H], now_ms: u64) -> Vec<H> {
         let before = std::mem::replace(&mut self.hosts, hosts.to_vec());
-        self.table.keep_only(hosts);
+        self.table.retain_hosts(hosts);
         // Hosts of the view before were seen until this moment.
         for host in before.iter().chain(hosts) {
             self.seen_at_ms.insert(host.clone(), now_ms);
@@ -208,7 +208,7 @@
     /// share until all routers must have told what they hold.
     pub fn authority(&self, now_ms: u64) -> Authority {
         match self.authority_by_view(now_ms) {
-            Authority::Whole if now_ms < self.shared_until_ms => Authority::Shared,
+            Authority::Full if now_ms < self.shared_until_ms => Authority::Shared,
             authority => authority,
         }
     }
@@ -220,15 +220,15 @@
             .filter(|at_ms| now_ms < **at_ms + RECENT_MS);
         let recent = recent.count().max(self.hosts.len());
         match (self.hosts.len() * 2).cmp(&recent) {
-            std::cmp::Ordering::Greater => Authority::Whole,
+            std::cmp::Ordering::Greater => Authority::Full,
             std::cmp::Ordering::Equal => Authority::Shared,
             std::cmp::Ordering::Less => Authority::None,
         }
     }
 
     /// A router that asks tells the mean load that it sampled.
-    pub fn take_sample(&mut self, mean_load: f64) {
-        self.sampled.sample(mean_load);
+    pub fn record_sample(&mut self, mean_load: f64) {
+        self.sampled.record(mean_load);
     }
 
     /// The mean load by unit of weight that grants go by.
@@ -243,7 +243,12 @@
 
     /// Asks for a slot; `None` if this host does not own the engine or may
     /// not grant.
-    pub fn ask(&mut self, engine: &E, holder: Holder<H>, now_ms: u64) -> Option<SlotDecision> {
+    pub fn request_slot(
+        &mut self,
+        engine: &E,
+        holder: SlotHolder<H>,
+        now_ms: u64,
+    ) -> Option<SlotDecision> {
         let authority = self.authority(now_ms);
         if authority == Authority::None {
             return None;
@@ -252,25 +257,25 @@
         let mean = self.mean(now_ms);
         let ledger = self.ledgers.get_mut(engine).filter(|ledger| ledger.owned)?;
         let shared = authority == Authority::Shared;
-        let context = AskContext {
+        let context = SlotRequestContext {
             mean_load: mean,
             shared,
             rules: &self.rules,
             weights: &self.weights,
         };
-        Some(ledger.slots.ask(holder, now_ms, context))
+        Some(ledger.slots.request_slot(holder, now_ms, context))
     }
 
     /// Takes slots back.
-    pub fn give_back(&mut self, engine: &E, holder: &Holder<H>, count: u32, now_ms: u64) {
+    pub fn return_slots(&mut self, engine: &E, holder: &SlotHolder<H>, count: u32, now_ms: u64) {
         if let Some(ledger) = self.ledgers.get_mut(engine) {
-            ledger.slots.give_back(holder, now_ms, count);
+            ledger.slots.return_slots(holder, now_ms, count);
         }
     }
 
     /// A router tells what it holds of an engine. Its view may be ahead of
     /// this host's, which then keeps the count for when the engine is its own.
-    pub fn adopt(&mut self, engine: &E, holder: Holder<H>, count: u32, now_ms: u64) {
+    pub fn adopt(&mut self, engine: &E, holder: SlotHolder<H>, count: u32, now_ms: u64) {
         let ledger = self
             .ledgers
             .entry(engine.clone())
@@ -279,9 +284,9 @@
     }
 
     /// A router is gone; its slots are free.
-    pub fn host_gone(&mut self, host: &H, now_ms: u64) {
+    pub fn remove_host(&mut self, host: &H, now_ms: u64) {
         for ledger in self.ledgers.values_mut() {
-            ledger.slots.host_gone(host, now_ms);
+            ledger.slots.remove_host(host, now_ms);
         }
     }
 
@@ -321,6 +326,6 @@
             };
             own.weight += ledger.slots.weight();
         }
-        self.table.set_own(own, now_ms);
+        self.table.set_local(own, now_ms);
     }
 }
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -11,7 +11,7 @@
 
 /// An engine that a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlaceOption {
+pub struct EngineCandidate {
     /// The hash of its name.
     pub hash: MemberHash,
     /// Its size against others.
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementRules {
     /// Others asked at once when the home refuses.
-    pub others: usize,
+    pub alternatives: usize,
     /// Rounds of others, before a pause.
     pub rounds: usize,
     /// How long the home's owner may hold an ask until a slot frees up. Worth
@@ -31,17 +31,17 @@
     /// Pause after all rounds were refused.
     pub retry_pause_ms: u64,
     /// Pauses at most; then the request is refused.
-    pub retry_pauses: usize,
+    pub max_retry_pauses: usize,
 }
 
 impl Default for PlacementRules {
     fn default() -> Self {
         Self {
-            others: 3,
+            alternatives: 3,
             rounds: 2,
             home_wait_ms: 400,
             retry_pause_ms: 100,
-            retry_pauses: 5,
+            max_retry_pauses: 5,
         }
     }
 }
@@ -55,12 +55,12 @@
     FirstRank,
     /// The chat is new. Its prefix is nowhere, so it may go to the least
     /// loaded of a few: this is what keeps the homes balanced.
-    Nowhere,
+    Uncached,
 }
 
 /// What an owner answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskAnswer {
+pub enum SlotResponse {
     /// It grants a slot; the load includes it.
     Granted {
         /// Requests on the engine.
@@ -86,22 +86,22 @@
     Absent,
 }
 
-impl AskAnswer {
+impl SlotResponse {
     /// The engine's load before the ask, if its owner answered.
     pub fn load_before(self) -> Option<u32> {
         match self {
-            AskAnswer::Granted { load } => Some(load - 1),
-            AskAnswer::AtBound { load } | AskAnswer::OverShare { load } => Some(load),
-            AskAnswer::Estimated { .. } | AskAnswer::Absent => None,
+            SlotResponse::Granted { load } => Some(load - 1),
+            SlotResponse::AtBound { load } | SlotResponse::OverShare { load } => Some(load),
+            SlotResponse::Estimated { .. } | SlotResponse::Absent => None,
         }
     }
 }
 
-/// What to do next. Engines are named by their index in the options.
+/// What to do next. Engines are named by their index in the candidates.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Ask the owners of these, then call [`Placement::answered`] for each.
-    Ask {
+pub enum PlacementStep {
+    /// Ask the owners of these, then call [`Placement::record_response`] for each.
+    RequestSlots {
         /// The engines.
         engines: Vec<usize>,
         /// How long an owner may hold the ask until a slot frees up.
@@ -114,7 +114,7 @@
         /// Whether a slot is held there.
         with_slot: bool,
         /// Engines whose slots are given back.
-        give_back: Vec<usize>,
+        surplus: Vec<usize>,
     },
     /// Call [`Placement::resume`] after this time.
     Pause {
@@ -129,7 +129,7 @@
     /// No owner answered: fall back to the estimate.
     NoOwner,
     /// Other answers are still to come.
-    Await,
+    AwaitResponses,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -148,14 +148,14 @@
 ///
 /// ```
 /// use chalkrock_core::rendezvous::{KeyHash, MemberHash};
-/// use chalkrock_core::{AskAnswer, Home, PlaceOption, Placement, PlacementRules, Step};
+/// use chalkrock_core::{SlotResponse, Home, EngineCandidate, Placement, PlacementRules, PlacementStep};
 ///
-/// let options = ["a", "b"].map(|n| PlaceOption { hash: MemberHash::of(n), weight: 1.0 });
+/// let candidates = ["a", "b"].map(|n| EngineCandidate { hash: MemberHash::of(n), weight: 1.0 });
 /// let chat = KeyHash::of(b"chat");
 /// let mut placement = Placement::new(PlacementRules::default(), chat, Home::FirstRank);
-/// let Step::Ask { engines, .. } = placement.start(&options) else { panic!() };
-/// let step = placement.answered(&options, engines[0], AskAnswer::Granted { load: 1 });
-/// assert_eq!(step, Step::Dispatch { to: engines[0], with_slot: true, give_back: vec![] });
+/// let PlacementStep::RequestSlots { engines, .. } = placement.start(&candidates) else { panic!() };
+/// let step = placement.record_response(&candidates, engines[0], SlotResponse::Granted { load: 1 });
+/// assert_eq!(step, PlacementStep::Dispatch { to: engines[0], with_slot: true, surplus: vec![] });
 /// ```
 #[derive(Clone, Debug)]
 pub struct Placement {
@@ -196,74 +196,80 @@
     }
 
     /// Begins the search.
-    pub fn start(&mut self, options: &[PlaceOption]) -> Step {
+    pub fn start(&mut self, candidates: &[EngineCandidate]) -> PlacementStep {
         let home = match self.home {
-            Home::Hinted(home) => Some(home).filter(|home| *home < options.len()),
+            Home::Hinted(home) => Some(home).filter(|home| *home < candidates.len()),
             Home::FirstRank => {
-                self.rank(options);
+                self.rank(candidates);
                 self.ranks.first().copied()
             }
-            Home::Nowhere => None,
+            Home::Uncached => None,
         };
         match home {
             Some(home) => {
                 self.phase = Phase::Home;
-                self.ask(vec![home], 0)
+                self.request(vec![home], 0)
             }
-            None => self.ask_others(options, 0),
+            None => self.ask_others(candidates, 0),
         }
     }
 
     /// Takes an owner's answer.
-    pub fn answered(&mut self, options: &[PlaceOption], engine: usize, answer: AskAnswer) -> Step {
+    pub fn record_response(
+        &mut self,
+        candidates: &[EngineCandidate],
+        engine: usize,
+        answer: SlotResponse,
+    ) -> PlacementStep {
         self.waiting = self.waiting.saturating_sub(1);
         match answer {
-            AskAnswer::Granted { load } => {
+            SlotResponse::Granted { load } => {
                 self.any_answer = true;
                 self.granted.push((engine, load));
             }
-            AskAnswer::AtBound { .. } => self.any_answer = true,
-            AskAnswer::OverShare { .. } => {
+            SlotResponse::AtBound { .. } => self.any_answer = true,
+            SlotResponse::OverShare { .. } => {
                 self.any_answer = true;
                 self.over_share = true;
             }
-            AskAnswer::Estimated { load } => {
+            SlotResponse::Estimated { load } => {
                 self.any_answer = true;
                 self.estimated.push((engine, load));
             }
-            AskAnswer::Absent => {}
+            SlotResponse::Absent => {}
         }
         if self.waiting > 0 {
-            return Step::Await;
+            return PlacementStep::AwaitResponses;
         }
-        if let Some(step) = self.dispatch(options) {
+        if let Some(step) = self.dispatch(candidates) {
             return step;
         }
-        self.refused(options, engine, answer)
+        self.refused(candidates, engine, answer)
     }
 
     /// Goes on after a pause: from the start.
-    pub fn resume(&mut self, options: &[PlaceOption]) -> Step {
+    pub fn resume(&mut self, candidates: &[EngineCandidate]) -> PlacementStep {
         self.asked.clear();
-        self.start(options)
+        self.start(candidates)
     }
 
     /// Whether the engines asked now were picked by the chat's hash alone, and
     /// their loads are a fair sample of the pool's.
-    pub fn asks_others(&self) -> bool {
+    pub fn requests_alternatives(&self) -> bool {
         matches!(self.phase, Phase::Others { .. })
     }
 
-    fn ask(&mut self, engines: Vec<usize>, wait_ms: u64) -> Step {
+    fn request(&mut self, engines: Vec<usize>, wait_ms: u64) -> PlacementStep {
         self.waiting = engines.len();
         self.asked.extend(&engines);
-        Step::Ask { engines, wait_ms }
+        PlacementStep::RequestSlots { engines, wait_ms }
     }
 
     /// The least loaded engine that granted, by its weight; without any, the
     /// least loaded by this router's own requests.
-    fn dispatch(&mut self, options: &[PlaceOption]) -> Option<Step> {
-        let relative = |(engine, load): &(usize, u32)| f64::from(*load) / options[*engine].weight;
+    fn dispatch(&mut self, candidates: &[EngineCandidate]) -> Option<PlacementStep> {
+        let relative =
+            |(engine, load): &(usize, u32)| f64::from(*load) / candidates[*engine].weight;
         let least = |found: &[(usize, u32)]| {
             let least = found
                 .iter()
@@ -272,36 +278,41 @@
         };
         let Some(to) = least(&self.granted) else {
             let to = least(&self.estimated)?;
-            return Some(Step::Dispatch {
+            return Some(PlacementStep::Dispatch {
                 to,
                 with_slot: false,
-                give_back: Vec::new(),
+                surplus: Vec::new(),
             });
         };
         let others = self.granted.iter().map(|(engine, _)| *engine);
-        let give_back = others.filter(|engine| *engine != to).collect();
-        Some(Step::Dispatch {
+        let surplus = others.filter(|engine| *engine != to).collect();
+        Some(PlacementStep::Dispatch {
             to,
             with_slot: true,
-            give_back,
+            surplus,
         })
     }
 
-    fn refused(&mut self, options: &[PlaceOption], engine: usize, last: AskAnswer) -> Step {
-        let is_at_bound = matches!(last, AskAnswer::AtBound { .. });
+    fn refused(
+        &mut self,
+        candidates: &[EngineCandidate],
+        engine: usize,
+        last: SlotResponse,
+    ) -> PlacementStep {
+        let is_at_bound = matches!(last, SlotResponse::AtBound { .. });
         match self.phase {
             Phase::Home if is_at_bound && self.rules.home_wait_ms > 0 && !self.was_held => {
                 self.phase = Phase::HomeHeld;
                 self.was_held = true;
-                self.ask(vec![engine], self.rules.home_wait_ms)
+                self.request(vec![engine], self.rules.home_wait_ms)
             }
-            Phase::Home | Phase::HomeHeld => self.ask_others(options, 0),
-            Phase::Others { round } => self.ask_others(options, round + 1),
+            Phase::Home | Phase::HomeHeld => self.ask_others(candidates, 0),
+            Phase::Others { round } => self.ask_others(candidates, round + 1),
         }
     }
 
     /// Asks a round of others, or ends the search if there is none left.
-    fn ask_others(&mut self, options: &[PlaceOption], round: usize) -> Step {
+    fn ask_others(&mut self, candidates: &[EngineCandidate], round: usize) -> PlacementStep {
         // An organisation that has its share of the home and of three others
         // has it of the pool: asking on would cost traffic when it is dearest.
         let rounds = if self.over_share {
@@ -311,42 +322,42 @@
         };
         if round < rounds {
             self.phase = Phase::Others { round };
-            let others = self.next_others(options);
+            let others = self.next_others(candidates);
             if !others.is_empty() {
-                return self.ask(others, 0);
+                return self.request(others, 0);
             }
         }
         if !self.any_answer {
-            return Step::NoOwner;
+            return PlacementStep::NoOwner;
         }
         if self.over_share {
-            return Step::RefuseOverShare;
+            return PlacementStep::RefuseOverShare;
         }
-        if self.pauses < self.rules.retry_pauses {
+        if self.pauses < self.rules.max_retry_pauses {
             self.pauses += 1;
-            return Step::Pause {
+            return PlacementStep::Pause {
                 pause_ms: self.rules.retry_pause_ms,
             };
         }
-        Step::RefuseAtBound
+        PlacementStep::RefuseAtBound
     }
 
     /// The next ranks of the chat among engines not asked yet. Ranks spread
     /// as well as random picks and bring a chat back to where it once was.
-    fn next_others(&mut self, options: &[PlaceOption]) -> Vec<usize> {
-        self.rank(options);
+    fn next_others(&mut self, candidates: &[EngineCandidate]) -> Vec<usize> {
+        self.rank(candidates);
         let not_asked = self
             .ranks
             .iter()
             .filter(|engine| !self.asked.contains(engine));
-        not_asked.take(self.rules.others).copied().collect()
+        not_asked.take(self.rules.alternatives).copied().collect()
     }
 
     /// Ranks the engines, once, as far as the search may go.
-    fn rank(&mut self, options: &[PlaceOption]) {
+    fn rank(&mut self, candidates: &[EngineCandidate]) {
         if self.ranks.is_empty() {
-            let most = 1 + self.rules.others * self.rules.rounds;
-            self.ranks = best_ranks(self.key, options, most);
+            let most = 1 + self.rules.alternatives * self.rules.rounds;
+            self.ranks = best_ranks(self.key, candidates, most);
         }
     }
 }
@@ -356,16 +367,16 @@
 /// mean, so that the sum of all routers' shares stays under it too. A router
 /// with less than a request on each engine can tell nothing, and leaves the
 /// engine alone: in a large fleet that is one engine in hundreds.
-pub fn has_own_room(
-    options: &[PlaceOption],
+pub fn has_local_capacity(
+    candidates: &[EngineCandidate],
     engine: usize,
     own_loads: &[u32],
     load_multiple: f64,
 ) -> bool {
     let total: u32 = own_loads.iter().sum();
-    let weight: f64 = options.iter().map(|option| option.weight).sum();
+    let weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     let own_mean = f64::from(total) / weight;
-    let limit = (load_multiple * own_mean * options[engine].weight).floor();
+    let limit = (load_multiple * own_mean * candidates[engine].weight).floor();
     f64::from(own_loads[engine] + 1) <= limit
 }
 
@@ -373,27 +384,27 @@
 /// while it stays under the multiple of this router's mean, else the engine
 /// with the fewest. Routers that each keep their own share balanced keep the
 /// sum balanced, up to one request for each router.
-pub fn local_choice(
-    options: &[PlaceOption],
+pub fn choose_locally(
+    candidates: &[EngineCandidate],
     home: Home,
     key: KeyHash,
     own_loads: &[u32],
     load_multiple: f64,
 ) -> Option<usize> {
     let total: u32 = own_loads.iter().sum();
-    let weight: f64 = options.iter().map(|option| option.weight).sum();
+    let weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     let mean = f64::from(total + 1) / weight;
     let is_under = |index: &usize| {
-        let limit = (load_multiple * mean * options[*index].weight).ceil();
+        let limit = (load_multiple * mean * candidates[*index].weight).ceil();
         f64::from(own_loads[*index] + 1) <= limit
     };
     let home = match home {
         Home::Hinted(index) => Some(index),
-        Home::FirstRank => best_ranks(key, options, 1).first().copied(),
-        Home::Nowhere => None,
+        Home::FirstRank => best_ranks(key, candidates, 1).first().copied(),
+        Home::Uncached => None,
     };
-    let relative = |index: usize| f64::from(own_loads[index]) / options[index].weight;
-    let least = (0..options.len()).min_by(|a, b| relative(*a).total_cmp(&relative(*b)));
+    let relative = |index: usize| f64::from(own_loads[index]) / candidates[index].weight;
+    let least = (0..candidates.len()).min_by(|a, b| relative(*a).total_cmp(&relative(*b)));
     home.filter(is_under).or(least)
 }
 
@@ -402,25 +413,25 @@
 /// Most members do not make it, and a comparison of their unit tells so: the
 /// logarithm of the score is taken for the few that may. At 690 engines this
 /// takes 6 µs in place of 13 (benches/placement.rs).
-fn best_ranks(key: KeyHash, options: &[PlaceOption], most: usize) -> Vec<usize> {
+fn best_ranks(key: KeyHash, candidates: &[EngineCandidate], most: usize) -> Vec<usize> {
     let mut best: Vec<(f64, usize)> = Vec::with_capacity(most + 1);
     let mut pass = Pass {
         weight: 0.0,
         unit: 0.0,
     };
-    for (i, option) in options.iter().enumerate() {
-        let unit = unit(key, option.hash);
-        if option.weight == pass.weight && unit < pass.unit {
+    for (i, candidate) in candidates.iter().enumerate() {
+        let unit = unit(key, candidate.hash);
+        if candidate.weight == pass.weight && unit < pass.unit {
             continue;
         }
-        let s = score_of(unit, option.weight);
+        let s = score_of(unit, candidate.weight);
         let at = best.partition_point(|(better, _)| *better >= s);
         best.insert(at, (s, i));
         best.truncate(most);
         if let Some((worst, _)) = best.last().filter(|_| best.len() == most) {
             pass = Pass {
-                weight: option.weight,
-                unit: unit_of(*worst, option.weight),
+                weight: candidate.weight,
+                unit: unit_of(*worst, candidate.weight),
             };
         }
     }
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -70,13 +70,16 @@
 /// # Example
 ///
 /// ```
-/// use chalkrock_core::rendezvous::{first, KeyHash, MemberHash};
+/// use chalkrock_core::rendezvous::{top_ranked, KeyHash, MemberHash};
 ///
 /// let members = ["a", "b", "c"].map(|name| (MemberHash::of(name), 1.0));
 /// let key = KeyHash::of(b"chat-1");
-/// assert_eq!(first(key, members), first(key, members));
+/// assert_eq!(top_ranked(key, members), top_ranked(key, members));
 /// ```
-pub fn first(key: KeyHash, members: impl IntoIterator<Item = (MemberHash, f64)>) -> Option<usize> {
+pub fn top_ranked(
+    key: KeyHash,
+    members: impl IntoIterator<Item = (MemberHash, f64)>,
+) -> Option<usize> {
     let mut best = None;
     let mut best_score = f64::NEG_INFINITY;
     for (i, (member, weight)) in members.into_iter().enumerate() {
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -13,7 +13,7 @@
 /// ```
 /// let mut budget = chalkrock_core::RetryBudget::default();
 /// assert!(budget.take());
-/// budget.success();
+/// budget.record_success();
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
@@ -28,7 +28,7 @@
 
 impl RetryBudget {
     /// A request was answered at its first try.
-    pub fn success(&mut self) {
+    pub fn record_success(&mut self) {
         self.left = (self.left + EARNED).min(SAVED_MAX);
     }
 
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -21,7 +21,7 @@
 /// Up to this share of an engine's capacity, whoever asks is granted. What is
 /// above is kept for organisations that are under their share, so that a surge
 /// of others does not delay them.
-pub const OPEN_SHARE: f64 = 0.8;
+pub const OPEN_LOAD_RATIO: f64 = 0.8;
 /// An organisation's share of an engine is never less. Ordinary chance puts two
 /// requests of a small organisation on one engine; holding it to one there
 /// delays it more than a surge of others does.
@@ -57,7 +57,7 @@
     ///
     /// The margin is three fortieths of what the multiple leaves above the mean; see
     /// `docs/decisions/0003-slots.md` for the measurement.
-    pub fn promising(load_multiple: f64) -> Self {
+    pub fn for_load_multiple(load_multiple: f64) -> Self {
         const MARGIN: f64 = 0.075;
         Self {
             grant_multiple: 1.0 + (load_multiple - 1.0) * (1.0 - MARGIN),
@@ -70,7 +70,7 @@
 
     /// The load from which on organisations are held to their shares.
     fn open_load(&self, weight: f64) -> f64 {
-        OPEN_SHARE * self.capacity * weight
+        OPEN_LOAD_RATIO * self.capacity * weight
     }
 
     /// The most requests that an engine of `weight` may carry.
@@ -88,7 +88,7 @@
 
 /// Whose slots: a router's host and an organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Holder<H> {
+pub struct SlotHolder<H> {
     /// The router's host.
     pub host: H,
     /// The organisation.
@@ -116,7 +116,7 @@
 
 /// What an ask is judged by, beside the ledger.
 #[derive(Clone, Copy, Debug)]
-pub struct AskContext<'a> {
+pub struct SlotRequestContext<'a> {
     /// The pool's mean load by unit of weight.
     pub mean_load: f64,
     /// Whether another host may own the engine too.
@@ -171,16 +171,16 @@
 ///
 /// ```
 /// use chalkrock_core::{
-///     AskContext, EngineSlots, Holder, OrganisationKey, SlotDecision, SlotRules, Weights,
+///     SlotRequestContext, EngineSlots, SlotHolder, OrganisationKey, SlotDecision, SlotRules, Weights,
 /// };
 ///
-/// let rules = SlotRules { settle_ms: 0, ..SlotRules::promising(1.25) };
+/// let rules = SlotRules { settle_ms: 0, ..SlotRules::for_load_multiple(1.25) };
 /// let weights = Weights::default();
-/// let context = AskContext { mean_load: 8.0, shared: false, rules: &rules, weights: &weights };
-/// let holder = Holder { host: "host-1", organisation: OrganisationKey(7) };
+/// let context = SlotRequestContext { mean_load: 8.0, shared: false, rules: &rules, weights: &weights };
+/// let holder = SlotHolder { host: "host-1", organisation: OrganisationKey(7) };
 /// let mut slots = EngineSlots::new(1.0, 0);
-/// assert_eq!(slots.ask(holder, 10, context), SlotDecision::Granted { load: 1 });
-/// slots.give_back(&holder, 20, 1);
+/// assert_eq!(slots.request_slot(holder, 10, context), SlotDecision::Granted { load: 1 });
+/// slots.return_slots(&holder, 20, 1);
 /// assert_eq!(slots.load(), 0);
 /// ```
 #[derive(Clone, Debug)]
@@ -189,7 +189,7 @@
     owned_since_ms: u64,
     settled_at_once: bool,
     granted: u32,
-    held: HashMap<Holder<H>, u32>,
+    held: HashMap<SlotHolder<H>, u32>,
     by_organisation: HashMap<OrganisationKey, u32>,
     samples: VecDeque<Sample>,
     foreign: i64,
@@ -226,7 +226,12 @@
     /// With `shared`, another host may own the engine too: each of the two
     /// then grants as if the other had granted as much as itself in the time
     /// that no report shows yet, so that both together stay under the limit.
-    pub fn ask(&mut self, holder: Holder<H>, now_ms: u64, context: AskContext<'_>) -> SlotDecision {
+    pub fn request_slot(
+        &mut self,
+        holder: SlotHolder<H>,
+        now_ms: u64,
+        context: SlotRequestContext<'_>,
+    ) -> SlotDecision {
         if !self.is_settled(now_ms, context.rules) {
             return SlotDecision::Settling;
         }
@@ -261,7 +266,7 @@
         &self,
         organisation: OrganisationKey,
         load: u32,
-        context: AskContext<'_>,
+        context: SlotRequestContext<'_>,
     ) -> bool {
         if f64::from(load) < context.rules.open_load(self.weight) {
             return false;
@@ -284,7 +289,7 @@
     }
 
     /// Takes slots back. What the holder does not hold is ignored.
-    pub fn give_back(&mut self, holder: &Holder<H>, now_ms: u64, count: u32) {
+    pub fn return_slots(&mut self, holder: &SlotHolder<H>, now_ms: u64, count: u32) {
         let Some(held) = self.held.get_mut(holder) else {
             return;
         };
@@ -310,7 +315,7 @@
     /// Takes over what a router says it holds: its own count is better than
     /// ours. A report shows these requests already, so that they move from
     /// the foreign load to the granted slots; without one they are news.
-    pub fn adopt(&mut self, holder: Holder<H>, now_ms: u64, count: u32) {
+    pub fn adopt(&mut self, holder: SlotHolder<H>, now_ms: u64, count: u32) {
         let organisation = holder.organisation;
         let held = self.held.remove(&holder).unwrap_or(0);
         self.release(organisation, held, now_ms);
@@ -327,7 +332,7 @@
 
     /// Takes all slots of a router back that is gone. Its requests may still
     /// run for a moment; the reports show them.
-    pub fn host_gone(&mut self, host: &H, now_ms: u64) {
+    pub fn remove_host(&mut self, host: &H, now_ms: u64) {
         let gone: Vec<_> = self
             .held
             .extract_if(|holder, _| holder.host == *host)
--- a/crates/core/tests/load_table.rs
+++ b/crates/core/tests/load_table.rs
@@ -20,7 +20,7 @@
 
 fn table_of(hosts: &[u8]) -> LoadTable<u8> {
     let mut table = LoadTable::new(0);
-    table.keep_only(hosts);
+    table.retain_hosts(hosts);
     table
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn mean_of_old_entries_falls_by_little() {
     let mut table = table_of(&[0, 1, 2]);
-    table.set_own(load(8), 14_000);
+    table.set_local(load(8), 14_000);
     table.merge(&[entry(1, 8, 14_000), entry(2, 8, 14_000)], 14_000);
     assert_that!(table.mean(14_000), ge(0.95 * 8.0));
     assert_that!(table.mean(14_000), lt(8.0));
@@ -55,6 +55,6 @@
 fn mean_forgets_entries_that_are_too_old() {
     let mut table = table_of(&[0, 1]);
     table.merge(&[entry(1, 8, 0)], 1_000);
-    table.set_own(load(2), 60_000);
+    table.set_local(load(2), 60_000);
     assert_that!(table.mean(60_000), eq(2.0));
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn absorb_tables_of_lists() {
+fn merge_tables_of_lists() {
     let text = include_str!("data/membership.yaml");
     let cases: Vec<Case> = serde_yaml_ng::from_str(text).unwrap();
     for case in cases {
@@ -58,7 +58,7 @@
             let endpoints = list
                 .iter()
                 .map(|(name, (n, state))| endpoint(name, *n, *state));
-            members.absorb(&HostList {
+            members.merge(&HostList {
                 hosts: vec![],
                 endpoints: endpoints.collect(),
             });
@@ -74,7 +74,7 @@
         hosts: vec![],
         endpoints: vec![endpoint("e", 2, HostState::Live)],
     };
-    members.absorb(&list);
+    members.merge(&list);
     assert_that!(
         members.mark_leaving(&EndpointId::new("e"), Incarnation(1)),
         eq(false)
@@ -83,6 +83,6 @@
         members.mark_leaving(&EndpointId::new("e"), Incarnation(2)),
         eq(true)
     );
-    members.absorb(&list);
+    members.merge(&list);
     assert_that!(believed(&members), eq(&Believed::Leaving));
 }
--- a/crates/core/tests/owner.rs
+++ b/crates/core/tests/owner.rs
@@ -1,7 +1,7 @@
 //! Who may grant: views that change, split and come back.
 
 use chalkrock_core::{
-    Authority, Holder, OrganisationKey, OwnedEngine, Owner, SlotDecision, SlotRules,
+    Authority, OrganisationKey, OwnedEngine, Owner, SlotDecision, SlotHolder, SlotRules,
 };
 use googletest::prelude::*;
 
@@ -10,14 +10,14 @@
 const MINUTES_MS: u64 = 300_000;
 
 fn owner_of_engine(now_ms: u64) -> Owner<u8, &'static str> {
-    let mut owner = Owner::new(0, SlotRules::promising(1.25));
-    owner.take_view(&HOSTS, &owned(), &[], now_ms);
+    let mut owner = Owner::new(0, SlotRules::for_load_multiple(1.25));
+    owner.apply_view(&HOSTS, &owned(), &[], now_ms);
     owner.skip_settling();
     owner
 }
 
-fn holder(host: u8) -> Holder<u8> {
-    Holder {
+fn holder(host: u8) -> SlotHolder<u8> {
+    SlotHolder {
         host,
         organisation: OrganisationKey(0),
     }
@@ -33,14 +33,14 @@
 #[test]
 fn authority_counts_hosts_of_the_last_minute() {
     for (seen, authority) in [
-        (8, Authority::Whole),
-        (7, Authority::Whole),
-        (5, Authority::Whole),
+        (8, Authority::Full),
+        (7, Authority::Full),
+        (5, Authority::Full),
         (4, Authority::Shared),
         (3, Authority::None),
     ] {
         let mut owner = owner_of_engine(0);
-        owner.take_view(&HOSTS[..seen], &owned(), &[], MINUTES_MS);
+        owner.apply_view(&HOSTS[..seen], &owned(), &[], MINUTES_MS);
         assert_that!(
             owner.authority(MINUTES_MS + 1),
             eq(authority),
@@ -52,46 +52,46 @@
 #[test]
 fn authority_returns_when_the_lost_hosts_are_forgotten() {
     let mut owner = owner_of_engine(0);
-    owner.take_view(&HOSTS[..3], &owned(), &[], 1_000);
+    owner.apply_view(&HOSTS[..3], &owned(), &[], 1_000);
     assert_that!(owner.authority(2_000), eq(Authority::None));
-    assert_that!(owner.authority(120_000), eq(Authority::Whole));
+    assert_that!(owner.authority(120_000), eq(Authority::Full));
 }
 
 #[test]
 fn authority_is_shared_for_a_while_after_a_split() {
     let mut owner = owner_of_engine(0);
-    owner.take_view(&HOSTS[..4], &owned(), &[], 1_000);
-    owner.take_view(&HOSTS, &owned(), &[], 6_000);
+    owner.apply_view(&HOSTS[..4], &owned(), &[], 1_000);
+    owner.apply_view(&HOSTS, &owned(), &[], 6_000);
     assert_that!(owner.authority(6_001), eq(Authority::Shared));
-    assert_that!(owner.authority(30_000), eq(Authority::Whole));
+    assert_that!(owner.authority(30_000), eq(Authority::Full));
 }
 
 #[test]
 fn ask_at_a_host_in_the_minority_is_not_answered() {
     let mut owner = owner_of_engine(0);
-    owner.take_view(&HOSTS[..3], &owned(), &[], 1_000);
-    assert_that!(owner.ask(&ENGINE, holder(1), 2_000), none());
+    owner.apply_view(&HOSTS[..3], &owned(), &[], 1_000);
+    assert_that!(owner.request_slot(&ENGINE, holder(1), 2_000), none());
 }
 
 #[test]
 fn ask_of_an_engine_that_moved_here_settles_first() {
     let mut owner = owner_of_engine(0);
-    owner.take_view(&HOSTS, &[], &[ENGINE], 1_000);
-    assert_that!(owner.ask(&ENGINE, holder(1), 1_500), none());
-    owner.take_view(&HOSTS, &owned(), &[], 2_000);
+    owner.apply_view(&HOSTS, &[], &[ENGINE], 1_000);
+    assert_that!(owner.request_slot(&ENGINE, holder(1), 1_500), none());
+    owner.apply_view(&HOSTS, &owned(), &[], 2_000);
     assert_that!(
-        owner.ask(&ENGINE, holder(1), 2_500),
+        owner.request_slot(&ENGINE, holder(1), 2_500),
         some(eq(SlotDecision::Settling))
     );
 }
 
 #[test]
 fn ask_of_a_new_engine_need_not_settle() {
-    let mut owner: Owner<u8, &str> = Owner::new(0, SlotRules::promising(1.25));
-    owner.take_view(&HOSTS, &[], &[], 0);
-    owner.take_view(&HOSTS, &owned(), &[], 1_000);
+    let mut owner: Owner<u8, &str> = Owner::new(0, SlotRules::for_load_multiple(1.25));
+    owner.apply_view(&HOSTS, &[], &[], 0);
+    owner.apply_view(&HOSTS, &owned(), &[], 1_000);
     assert_that!(
-        owner.ask(&ENGINE, holder(1), 1_001),
+        owner.request_slot(&ENGINE, holder(1), 1_001),
         some(eq(SlotDecision::Granted { load: 1 }))
     );
 }
@@ -99,21 +99,21 @@
 #[test]
 fn flapping_engine_keeps_its_ledger() {
     let mut owner = owner_of_engine(0);
-    owner.ask(&ENGINE, holder(1), 10);
-    owner.take_view(&HOSTS, &[], &[], 1_000);
-    assert_that!(owner.ask(&ENGINE, holder(1), 1_500), none());
-    owner.take_view(&HOSTS, &owned(), &[], 4_000);
+    owner.request_slot(&ENGINE, holder(1), 10);
+    owner.apply_view(&HOSTS, &[], &[], 1_000);
+    assert_that!(owner.request_slot(&ENGINE, holder(1), 1_500), none());
+    owner.apply_view(&HOSTS, &owned(), &[], 4_000);
     assert_that!(
-        owner.ask(&ENGINE, holder(1), 4_001),
+        owner.request_slot(&ENGINE, holder(1), 4_001),
         some(eq(SlotDecision::Granted { load: 2 }))
     );
 }
 
 #[test]
 fn adopt_ahead_of_the_view_is_kept() {
-    let mut owner: Owner<u8, &str> = Owner::new(0, SlotRules::promising(1.25));
-    owner.take_view(&HOSTS, &[], &[], 0);
+    let mut owner: Owner<u8, &str> = Owner::new(0, SlotRules::for_load_multiple(1.25));
+    owner.apply_view(&HOSTS, &[], &[], 0);
     owner.adopt(&ENGINE, holder(1), 3, 500);
-    owner.take_view(&HOSTS, &owned(), &[], 1_000);
+    owner.apply_view(&HOSTS, &owned(), &[], 1_000);
     assert_that!(owner.load(&ENGINE), some(eq(3)));
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,36 +1,39 @@
 //! The search for an engine, answer by answer.
 
 use chalkrock_core::rendezvous::{KeyHash, MemberHash, score};
-use chalkrock_core::{AskAnswer, Home, PlaceOption, Placement, PlacementRules, Step, has_own_room};
+use chalkrock_core::{
+    EngineCandidate, Home, Placement, PlacementRules, PlacementStep, SlotResponse,
+    has_local_capacity,
+};
 use googletest::prelude::*;
 
-const AT_BOUND: AskAnswer = AskAnswer::AtBound { load: 10 };
+const AT_BOUND: SlotResponse = SlotResponse::AtBound { load: 10 };
 
-fn options(count: usize) -> Vec<PlaceOption> {
-    let option = |i| PlaceOption {
+fn candidates(count: usize) -> Vec<EngineCandidate> {
+    let candidate = |i| EngineCandidate {
         hash: MemberHash::of(&format!("engine-{i}")),
         weight: 1.0,
     };
-    (0..count).map(option).collect()
+    (0..count).map(candidate).collect()
 }
 
 fn search(home: Home) -> Placement {
     Placement::new(PlacementRules::default(), KeyHash::of(b"chat"), home)
 }
 
-fn asked(step: Step) -> Vec<usize> {
+fn asked(step: PlacementStep) -> Vec<usize> {
     match step {
-        Step::Ask { engines, .. } => engines,
+        PlacementStep::RequestSlots { engines, .. } => engines,
         other => panic!("asks, not {other:?}"),
     }
 }
 
 #[test]
 fn start_asks_the_hinted_home() {
-    let step = search(Home::Hinted(3)).start(&options(8));
+    let step = search(Home::Hinted(3)).start(&candidates(8));
     assert_that!(
         step,
-        eq(&Step::Ask {
+        eq(&PlacementStep::RequestSlots {
             engines: vec![3],
             wait_ms: 0
         })
@@ -39,145 +42,157 @@
 
 #[test]
 fn start_of_a_new_chat_asks_a_few_at_once() {
-    assert_that!(asked(search(Home::Nowhere).start(&options(8))).len(), eq(3));
+    assert_that!(
+        asked(search(Home::Uncached).start(&candidates(8))).len(),
+        eq(3)
+    );
 }
 
 #[test]
 fn start_without_engines_finds_no_owner() {
-    assert_that!(search(Home::Nowhere).start(&[]), eq(&Step::NoOwner));
-    assert_that!(search(Home::Hinted(2)).start(&[]), eq(&Step::NoOwner));
+    assert_that!(
+        search(Home::Uncached).start(&[]),
+        eq(&PlacementStep::NoOwner)
+    );
+    assert_that!(
+        search(Home::Hinted(2)).start(&[]),
+        eq(&PlacementStep::NoOwner)
+    );
 }
 
 #[test]
 fn refused_home_leads_to_the_least_loaded_other() {
-    let options = options(8);
+    let candidates = candidates(8);
     let mut placement = search(Home::Hinted(0));
-    placement.start(&options);
-    let held = placement.answered(&options, 0, AT_BOUND);
+    placement.start(&candidates);
+    let held = placement.record_response(&candidates, 0, AT_BOUND);
     assert_that!(
         held,
-        eq(&Step::Ask {
+        eq(&PlacementStep::RequestSlots {
             engines: vec![0],
             wait_ms: 400
         })
     );
-    let others = asked(placement.answered(&options, 0, AT_BOUND));
+    let others = asked(placement.record_response(&candidates, 0, AT_BOUND));
     assert_that!(others, not(contains(eq(&0))));
-    let granted = |load| AskAnswer::Granted { load };
+    let granted = |load| SlotResponse::Granted { load };
     assert_that!(
-        placement.answered(&options, others[0], granted(7)),
-        eq(&Step::Await)
+        placement.record_response(&candidates, others[0], granted(7)),
+        eq(&PlacementStep::AwaitResponses)
     );
     assert_that!(
-        placement.answered(&options, others[1], granted(5)),
-        eq(&Step::Await)
+        placement.record_response(&candidates, others[1], granted(5)),
+        eq(&PlacementStep::AwaitResponses)
     );
-    let step = placement.answered(&options, others[2], AT_BOUND);
+    let step = placement.record_response(&candidates, others[2], AT_BOUND);
     assert_that!(
         step,
-        eq(&Step::Dispatch {
+        eq(&PlacementStep::Dispatch {
             to: others[1],
             with_slot: true,
-            give_back: vec![others[0]]
+            surplus: vec![others[0]]
         })
     );
 }
 
 #[test]
 fn least_loaded_is_judged_by_weight() {
-    let mut options = options(3);
-    options[2].weight = 4.0;
-    let mut placement = search(Home::Nowhere);
-    let engines = asked(placement.start(&options));
-    let mut last = Step::Await;
+    let mut candidates = candidates(3);
+    candidates[2].weight = 4.0;
+    let mut placement = search(Home::Uncached);
+    let engines = asked(placement.start(&candidates));
+    let mut last = PlacementStep::AwaitResponses;
     for engine in engines {
         let load = if engine == 2 { 8 } else { 4 };
-        last = placement.answered(&options, engine, AskAnswer::Granted { load });
+        last = placement.record_response(&candidates, engine, SlotResponse::Granted { load });
     }
-    assert_that!(last, matches_pattern!(Step::Dispatch { to: eq(&2), .. }));
+    assert_that!(
+        last,
+        matches_pattern!(PlacementStep::Dispatch { to: eq(&2), .. })
+    );
 }
 
 #[test]
 fn all_at_bound_pauses_and_then_refuses() {
-    let options = options(4);
+    let candidates = candidates(4);
     let mut placement = search(Home::Hinted(0));
-    let mut step = placement.start(&options);
+    let mut step = placement.start(&candidates);
     let mut pauses = 0;
-    while step != Step::RefuseAtBound {
+    while step != PlacementStep::RefuseAtBound {
         step = match step {
-            Step::Ask { engines, .. } => {
-                let answer = |engine| placement.answered(&options, engine, AT_BOUND);
+            PlacementStep::RequestSlots { engines, .. } => {
+                let answer = |engine| placement.record_response(&candidates, engine, AT_BOUND);
                 engines.into_iter().map(answer).last().unwrap()
             }
-            Step::Pause { .. } => {
+            PlacementStep::Pause { .. } => {
                 pauses += 1;
-                placement.resume(&options)
+                placement.resume(&candidates)
             }
             other => panic!("unexpected {other:?}"),
         };
     }
-    assert_that!(pauses, eq(PlacementRules::default().retry_pauses));
+    assert_that!(pauses, eq(PlacementRules::default().max_retry_pauses));
 }
 
 #[test]
 fn no_answer_at_all_is_no_owner() {
-    let options = options(4);
+    let candidates = candidates(4);
     let mut placement = search(Home::Hinted(0));
-    let mut step = placement.start(&options);
-    while let Step::Ask { engines, .. } = step {
-        let answer = |engine| placement.answered(&options, engine, AskAnswer::Absent);
+    let mut step = placement.start(&candidates);
+    while let PlacementStep::RequestSlots { engines, .. } = step {
+        let answer = |engine| placement.record_response(&candidates, engine, SlotResponse::Absent);
         step = engines.into_iter().map(answer).last().unwrap();
     }
-    assert_that!(step, eq(&Step::NoOwner));
+    assert_that!(step, eq(&PlacementStep::NoOwner));
 }
 
 #[test]
 fn absent_home_is_not_asked_again() {
-    let options = options(8);
+    let candidates = candidates(8);
     let mut placement = search(Home::Hinted(0));
-    placement.start(&options);
-    let others = asked(placement.answered(&options, 0, AskAnswer::Absent));
+    placement.start(&candidates);
+    let others = asked(placement.record_response(&candidates, 0, SlotResponse::Absent));
     assert_that!(others, not(contains(eq(&0))));
 }
 
 #[test]
 fn estimated_home_is_used_without_a_slot() {
-    let options = options(8);
+    let candidates = candidates(8);
     let mut placement = search(Home::Hinted(0));
-    placement.start(&options);
-    let step = placement.answered(&options, 0, AskAnswer::Estimated { load: 3 });
+    placement.start(&candidates);
+    let step = placement.record_response(&candidates, 0, SlotResponse::Estimated { load: 3 });
     assert_that!(
         step,
-        eq(&Step::Dispatch {
+        eq(&PlacementStep::Dispatch {
             to: 0,
             with_slot: false,
-            give_back: vec![]
+            surplus: vec![]
         })
     );
 }
 
 #[test]
 fn granted_engine_goes_before_an_estimated_one() {
-    let options = options(3);
-    let mut placement = search(Home::Nowhere);
-    let engines = asked(placement.start(&options));
-    placement.answered(&options, engines[0], AskAnswer::Estimated { load: 0 });
-    placement.answered(&options, engines[1], AskAnswer::Granted { load: 9 });
-    let step = placement.answered(&options, engines[2], AskAnswer::Absent);
+    let candidates = candidates(3);
+    let mut placement = search(Home::Uncached);
+    let engines = asked(placement.start(&candidates));
+    placement.record_response(&candidates, engines[0], SlotResponse::Estimated { load: 0 });
+    placement.record_response(&candidates, engines[1], SlotResponse::Granted { load: 9 });
+    let step = placement.record_response(&candidates, engines[2], SlotResponse::Absent);
     let to = engines[1];
     assert_that!(
         step,
-        eq(&Step::Dispatch {
+        eq(&PlacementStep::Dispatch {
             to,
             with_slot: true,
-            give_back: vec![]
+            surplus: vec![]
         })
     );
 }
 
 #[test]
 fn own_room_is_a_share_of_the_own_mean() {
-    let options = options(4);
+    let candidates = candidates(4);
     for (own_loads, room) in [
         ([4, 4, 4, 4], true),
         ([5, 4, 4, 4], false),
@@ -186,7 +201,7 @@
         ([0, 2, 2, 2], true),
     ] {
         assert_that!(
-            has_own_room(&options, 0, &own_loads, 1.25),
+            has_local_capacity(&candidates, 0, &own_loads, 1.25),
             eq(room),
             "{own_loads:?}"
         );
@@ -195,30 +210,30 @@
 
 #[test]
 fn organisation_over_its_share_is_told_after_one_round() {
-    let options = options(20);
+    let candidates = candidates(20);
     let mut placement = search(Home::Hinted(0));
-    placement.start(&options);
-    let over_share = AskAnswer::OverShare { load: 9 };
-    let others = asked(placement.answered(&options, 0, over_share));
-    let answer = |engine| placement.answered(&options, engine, over_share);
+    placement.start(&candidates);
+    let over_share = SlotResponse::OverShare { load: 9 };
+    let others = asked(placement.record_response(&candidates, 0, over_share));
+    let answer = |engine| placement.record_response(&candidates, engine, over_share);
     assert_that!(
         others.into_iter().map(answer).last(),
-        some(eq(&Step::RefuseOverShare))
+        some(eq(&PlacementStep::RefuseOverShare))
     );
 }
 
 #[test]
 fn ranks_follow_the_scores_whatever_the_weights() {
-    let mut options = options(200);
-    for (i, option) in options.iter_mut().enumerate() {
-        option.weight = [1.0, 64.0, 3.0, 1.0][i % 4];
+    let mut candidates = candidates(200);
+    for (i, candidate) in candidates.iter_mut().enumerate() {
+        candidate.weight = [1.0, 64.0, 3.0, 1.0][i % 4];
     }
     for chat in 0..50u32 {
         let key = KeyHash::of(&chat.to_le_bytes());
-        let mut ranked: Vec<usize> = (0..options.len()).collect();
-        let s = |i: usize| score(key, options[i].hash, options[i].weight);
+        let mut ranked: Vec<usize> = (0..candidates.len()).collect();
+        let s = |i: usize| score(key, candidates[i].hash, candidates[i].weight);
         ranked.sort_by(|a, b| s(*b).total_cmp(&s(*a)));
-        let mut placement = Placement::new(PlacementRules::default(), key, Home::Nowhere);
-        assert_that!(asked(placement.start(&options)), eq(&ranked[..3]));
+        let mut placement = Placement::new(PlacementRules::default(), key, Home::Uncached);
+        assert_that!(asked(placement.start(&candidates)), eq(&ranked[..3]));
     }
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -17,13 +17,13 @@
 fn budget_grows_by_a_tenth_of_the_successes() {
     let mut budget = RetryBudget::default();
     taken(&mut budget, 1_000);
-    (0..101).for_each(|_| budget.success());
+    (0..101).for_each(|_| budget.record_success());
     assert_that!(taken(&mut budget, 1_000), eq(10));
 }
 
 #[test]
 fn budget_does_not_grow_without_end() {
     let mut budget = RetryBudget::default();
-    (0..10_000).for_each(|_| budget.success());
+    (0..10_000).for_each(|_| budget.record_success());
     assert_that!(taken(&mut budget, 1_000), eq(20));
 }
--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use chalkrock_core::{
-    AskContext, EngineSlots, Holder, OrganisationKey, SlotDecision, SlotRules, Weights,
+    EngineSlots, OrganisationKey, SlotDecision, SlotHolder, SlotRequestContext, SlotRules, Weights,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -11,34 +11,34 @@
 fn rules() -> SlotRules {
     SlotRules {
         settle_ms: 0,
-        ..SlotRules::promising(1.25)
+        ..SlotRules::for_load_multiple(1.25)
     }
 }
 
-fn holder(host: u8) -> Holder<u8> {
+fn holder(host: u8) -> SlotHolder<u8> {
     of_organisation(host, 0)
 }
 
-fn of_organisation(host: u8, organisation: u32) -> Holder<u8> {
-    Holder {
+fn of_organisation(host: u8, organisation: u32) -> SlotHolder<u8> {
+    SlotHolder {
         host,
         organisation: OrganisationKey(organisation),
     }
 }
 
-fn ask(
+fn request_slot(
     slots: &mut EngineSlots<u8>,
-    holder: Holder<u8>,
+    holder: SlotHolder<u8>,
     now_ms: u64,
     mean_load: f64,
     shared: bool,
     rules: &SlotRules,
 ) -> SlotDecision {
     let weights = Weights::new(HashMap::from([(OrganisationKey(9), 3)]));
-    slots.ask(
+    slots.request_slot(
         holder,
         now_ms,
-        AskContext {
+        SlotRequestContext {
             mean_load,
             shared,
             rules,
@@ -48,7 +48,7 @@
 }
 
 fn grant(slots: &mut EngineSlots<u8>, host: u8, now_ms: u64, mean: f64) -> bool {
-    let decision = ask(slots, holder(host), now_ms, mean, false, &rules());
+    let decision = request_slot(slots, holder(host), now_ms, mean, false, &rules());
     matches!(decision, SlotDecision::Granted { .. })
 }
 
@@ -70,9 +70,9 @@
 
 #[test]
 fn ask_before_settling_is_not_granted() {
-    let rules = SlotRules::promising(1.25);
+    let rules = SlotRules::for_load_multiple(1.25);
     let mut slots = EngineSlots::new(1.0, 1_000);
-    let early = ask(
+    let early = request_slot(
         &mut slots,
         holder(1),
         1_000 + rules.settle_ms - 1,
@@ -81,7 +81,7 @@
         &rules,
     );
     assert_that!(early, eq(SlotDecision::Settling));
-    let later = ask(
+    let later = request_slot(
         &mut slots,
         holder(1),
         1_000 + rules.settle_ms,
@@ -162,7 +162,7 @@
     let mut total = 2;
     for now_ms in 20_001..20_100 {
         for slots in [&mut a, &mut b] {
-            let decision = ask(slots, holder(1), now_ms, 8.0, true, &rules());
+            let decision = request_slot(slots, holder(1), now_ms, 8.0, true, &rules());
             total += u32::from(matches!(decision, SlotDecision::Granted { .. }));
         }
     }
@@ -180,9 +180,9 @@
 /// How many of `count` asks of an organisation are granted.
 fn granted_to(slots: &mut EngineSlots<u8>, organisation: u32, count: usize) -> usize {
     let holder = of_organisation(1, organisation);
-    let mut ask = || ask(slots, holder, 10, 20.0, false, &crowded_rules());
+    let mut request = || request_slot(slots, holder, 10, 20.0, false, &crowded_rules());
     (0..count)
-        .filter(|_| matches!(ask(), SlotDecision::Granted { .. }))
+        .filter(|_| matches!(request(), SlotDecision::Granted { .. }))
         .count()
 }
 
@@ -206,7 +206,7 @@
     granted_to(&mut slots, 1, 8);
     // It weighs 3 against 1: three quarters are its share.
     assert_that!(granted_to(&mut slots, 9, 20), eq(2));
-    let refused = ask(
+    let refused = request_slot(
         &mut slots,
         of_organisation(1, 1),
         10,
@@ -215,8 +215,8 @@
         &crowded_rules(),
     );
     assert_that!(refused, eq(SlotDecision::AtBound { load: 10 }));
-    slots.give_back(&of_organisation(1, 1), 20, 1);
-    let borrower = ask(
+    slots.return_slots(&of_organisation(1, 1), 20, 1);
+    let borrower = request_slot(
         &mut slots,
         of_organisation(1, 1),
         30,
@@ -269,13 +269,13 @@
                     }
                 }
                 Op::GiveBack(host) => {
-                    slots.give_back(&holder(host), now_ms, 1);
+                    slots.return_slots(&holder(host), now_ms, 1);
                     if let Some(count) = held.get_mut(&host) {
                         *count = count.saturating_sub(1);
                     }
                 }
                 Op::HostGone(host) => {
-                    slots.host_gone(&host, now_ms);
+                    slots.remove_host(&host, now_ms);
                     held.remove(&host);
                 }
                 Op::Wait(ms) => now_ms += ms,
--- a/crates/router/src/chat/mod.rs
+++ b/crates/router/src/chat/mod.rs
@@ -91,7 +91,7 @@
     let body = body_of(state, body).await?;
     let chat: ChatRequest = serde_json::from_slice(&body)
         .map_err(|error| Refusal::new(Reason::InvalidRequest, error.to_string()))?;
-    let pool = entered.view.config.pool_of_model(&chat.model);
+    let pool = entered.view.config.pool_for_model(&chat.model);
     let pool = pool.ok_or_else(|| {
         Refusal::new(
             Reason::UnknownModel,
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -7,7 +7,7 @@
 use axum::http::HeaderMap;
 use chalkrock_core::rendezvous::{self, KeyHash, MemberHash};
 use chalkrock_core::{
-    CLAIM_KEY_MAX_BYTES, ClaimDecision, ClaimRow, ClaimState, Host, Outcome, Reason, claim_row_key,
+    ClaimDecision, ClaimRow, ClaimState, Host, MAX_CLAIM_KEY_BYTES, Outcome, Reason, claim_row_key,
     key_digest,
 };
 use chalkrock_proto::{
@@ -63,11 +63,11 @@
         return Ok(None);
     };
     let invalid = || {
-        let detail = format!("Idempotency-Key: 1 to {CLAIM_KEY_MAX_BYTES} visible characters");
+        let detail = format!("Idempotency-Key: 1 to {MAX_CLAIM_KEY_BYTES} visible characters");
         Refusal::new(Reason::InvalidRequest, detail)
     };
     let key = key.to_str().map_err(|_| invalid())?;
-    if key.is_empty() || key.len() > CLAIM_KEY_MAX_BYTES {
+    if key.is_empty() || key.len() > MAX_CLAIM_KEY_BYTES {
         return Err(invalid());
     }
     let start = tokio::time::Instant::now();
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -97,7 +97,7 @@
     let unknown = |detail: &str| Refusal::new(Reason::UnknownKey, detail);
     let key = bearer(headers).ok_or_else(|| unknown("send Authorization: Bearer KEY"))?;
     let digest = key_digest(key);
-    let organisation = view.config.organisation_of_key(&digest);
+    let organisation = view.config.organisation_for_key(&digest);
     let organisation = organisation.ok_or_else(|| unknown("no organisation holds this key"))?;
     Ok(organisation.name.clone())
 }
--- a/crates/router/src/owners.rs
+++ b/crates/router/src/owners.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use chalkrock_core::{AskAnswer, LoadSampler, PoolId};
+use chalkrock_core::{LoadSampler, PoolId, SlotResponse};
 use chalkrock_proto::{
     AgentApiClient, Hello, Purpose, SlotAnswer, SlotAsk, SlotCount, Traffic, connect,
 };
@@ -116,7 +116,7 @@
         engine: &ViewEndpoint,
         organisation: u32,
         wait_ms: u64,
-    ) -> Option<AskAnswer> {
+    ) -> Option<SlotResponse> {
         let owner = engine.owner?;
         let limit = self.ask_timeout + Duration::from_millis(wait_ms);
         let slot = SlotKey {
@@ -132,15 +132,15 @@
         match tokio::time::timeout(limit, self.ask_owner(owner, ask)).await {
             Ok(Some(SlotAnswer::Granted { in_progress })) => {
                 *self.slots().held.entry(slot).or_insert(0) += 1;
-                Some(AskAnswer::Granted { load: in_progress })
+                Some(SlotResponse::Granted { load: in_progress })
             }
             Ok(Some(SlotAnswer::AtBound { in_progress })) => {
-                Some(AskAnswer::AtBound { load: in_progress })
+                Some(SlotResponse::AtBound { load: in_progress })
             }
             Ok(Some(SlotAnswer::OverShare { in_progress })) => {
-                Some(AskAnswer::OverShare { load: in_progress })
+                Some(SlotResponse::OverShare { load: in_progress })
             }
-            Ok(Some(SlotAnswer::Leaving)) => Some(AskAnswer::Absent),
+            Ok(Some(SlotAnswer::Leaving)) => Some(SlotResponse::Absent),
             Ok(Some(SlotAnswer::NotOwner) | None) => None,
             Err(_) => {
                 log::debug!(target: PART, "Owner {owner} does not answer.");
@@ -163,7 +163,7 @@
         samplers
             .entry(engine.endpoint.pool.clone())
             .or_default()
-            .sample(relative);
+            .record(relative);
     }
 
     async fn ask_owner(self: &Arc<Self>, owner: SocketAddr, ask: SlotAsk) -> Option<SlotAnswer> {
--- a/crates/router/src/place.rs
+++ b/crates/router/src/place.rs
@@ -5,8 +5,8 @@
 
 use chalkrock_core::rendezvous::KeyHash;
 use chalkrock_core::{
-    AskAnswer, EndpointId, Home, PlaceOption, Placement, PlacementRules, Pool, Reason, Step,
-    has_own_room, local_choice,
+    EndpointId, EngineCandidate, Home, Placement, PlacementRules, PlacementStep, Pool, Reason,
+    SlotResponse, choose_locally, has_local_capacity,
 };
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -61,7 +61,7 @@
     state: &'a State,
     explanation: &'a mut Explanation,
     engines: &'a [ViewEndpoint],
-    options: Vec<PlaceOption>,
+    options: Vec<EngineCandidate>,
     home: Home,
     key: KeyHash,
     organisation: u32,
@@ -77,7 +77,7 @@
         chat: &ChatPlace,
         engines: &'a [ViewEndpoint],
     ) -> Self {
-        let option = |e: &ViewEndpoint| PlaceOption {
+        let option = |e: &ViewEndpoint| EngineCandidate {
             hash: e.hash,
             weight: f64::from(e.endpoint.slots),
         };
@@ -86,7 +86,7 @@
         let home = match (hinted, chat.returns) {
             (Some(index), _) => Home::Hinted(index),
             (None, true) => Home::FirstRank,
-            (None, false) => Home::Nowhere,
+            (None, false) => Home::Uncached,
         };
         let rules = PlacementRules {
             home_wait_ms: chat.home_wait_ms,
@@ -109,31 +109,33 @@
         let mut step = self.placement.start(&self.options);
         loop {
             step = match step {
-                Step::Ask { engines, wait_ms } => self.ask(engines, wait_ms).await,
-                Step::Pause { pause_ms } => {
+                PlacementStep::RequestSlots { engines, wait_ms } => {
+                    self.ask(engines, wait_ms).await
+                }
+                PlacementStep::Pause { pause_ms } => {
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                     self.placement.resume(&self.options)
                 }
-                Step::Dispatch {
+                PlacementStep::Dispatch {
                     to,
                     with_slot,
-                    give_back,
+                    surplus,
                 } => {
-                    for index in give_back {
+                    for index in surplus {
                         self.state.owners.give_back(self.slot(index));
                     }
                     return Ok(self.placed(to, with_slot));
                 }
-                Step::RefuseAtBound => {
+                PlacementStep::RefuseAtBound => {
                     let detail = format!("all engines asked in {} are at their bound", pool.name);
                     return Err(Refusal::new(Reason::AtBound, detail));
                 }
-                Step::RefuseOverShare => {
+                PlacementStep::RefuseOverShare => {
                     let detail = format!("{} is nearly full, and you have your share", pool.name);
                     return Err(Refusal::new(Reason::OverShare, detail));
                 }
-                Step::NoOwner => return self.without_owner(pool),
-                Step::Await => {
+                PlacementStep::NoOwner => return self.without_owner(pool),
+                PlacementStep::AwaitResponses => {
                     let detail = "the search waits for an answer that came";
                     return Err(Refusal::new(Reason::NoEndpoint, detail));
                 }
@@ -142,7 +144,7 @@
     }
 
     /// Asks owners at once, and gives the search each answer as it comes.
-    async fn ask(&mut self, indexes: Vec<usize>, wait_ms: u64) -> Step {
+    async fn ask(&mut self, indexes: Vec<usize>, wait_ms: u64) -> PlacementStep {
         let owners: &Arc<_> = &self.state.owners;
         let (engines, organisation) = (self.engines, self.organisation);
         let mut asks: FuturesUnordered<_> = indexes
@@ -154,27 +156,27 @@
                 )
             })
             .collect();
-        let mut step = Step::Await;
+        let mut step = PlacementStep::AwaitResponses;
         while let Some((index, answer)) = asks.next().await {
             let answer = answer.unwrap_or_else(|| self.estimate(index));
             if let Some(load) = answer
                 .load_before()
-                .filter(|_| self.placement.asks_others())
+                .filter(|_| self.placement.requests_alternatives())
             {
                 self.state.owners.sample(&self.engines[index], load);
             }
             self.note(index, answer);
-            step = self.placement.answered(&self.options, index, answer);
+            step = self.placement.record_response(&self.options, index, answer);
         }
         step
     }
 
     /// Without an owner, an engine is judged by this router's own requests.
-    fn estimate(&self, index: usize) -> AskAnswer {
+    fn estimate(&self, index: usize) -> SlotResponse {
         let busy = self.state.owners.busy_on(self.engines);
-        match has_own_room(&self.options, index, &busy, self.load_multiple) {
-            true => AskAnswer::Estimated { load: busy[index] },
-            false => AskAnswer::Absent,
+        match has_local_capacity(&self.options, index, &busy, self.load_multiple) {
+            true => SlotResponse::Estimated { load: busy[index] },
+            false => SlotResponse::Absent,
         }
     }
 
@@ -182,7 +184,7 @@
     /// What each router keeps balanced is balanced in sum.
     fn without_owner(&mut self, pool: &Pool) -> Result<Placed, Refusal> {
         let busy = self.state.owners.busy_on(self.engines);
-        let chosen = local_choice(
+        let chosen = choose_locally(
             &self.options,
             self.home,
             self.key,
@@ -212,13 +214,13 @@
         }
     }
 
-    fn note(&mut self, index: usize, answer: AskAnswer) {
+    fn note(&mut self, index: usize, answer: SlotResponse) {
         let (answer, in_progress) = match answer {
-            AskAnswer::Granted { load } => ("granted", Some(load)),
-            AskAnswer::AtBound { load } => ("at its bound", Some(load)),
-            AskAnswer::OverShare { load } => ("over the organisation's share", Some(load)),
-            AskAnswer::Estimated { load } => ("no owner, room by own requests", Some(load)),
-            AskAnswer::Absent => ("no owner", None),
+            SlotResponse::Granted { load } => ("granted", Some(load)),
+            SlotResponse::AtBound { load } => ("at its bound", Some(load)),
+            SlotResponse::OverShare { load } => ("over the organisation's share", Some(load)),
+            SlotResponse::Estimated { load } => ("no owner, room by own requests", Some(load)),
+            SlotResponse::Absent => ("no owner", None),
         };
         let role = match self.home {
             Home::Hinted(home) if home == index => CandidateRole::Hint,
--- a/crates/router/src/service_calls.rs
+++ b/crates/router/src/service_calls.rs
@@ -8,7 +8,7 @@
 use axum::http::HeaderMap;
 use axum::response::Response;
 use bytes::Bytes;
-use chalkrock_core::rendezvous::{KeyHash, first};
+use chalkrock_core::rendezvous::{KeyHash, top_ranked};
 use chalkrock_core::{Outcome, Pool, PoolKind, Reason, RequestId};
 use reqwest::Method;
 use tokio::time::Instant;
@@ -70,7 +70,7 @@
 ) -> Result<Response, Refusal> {
     let (head, body) = call.into_parts();
     let (entered, body) = enter(state, explanation, &head.headers, body).await?;
-    let pool = entered.view.config.pool_of_service(name);
+    let pool = entered.view.config.pool_for_service(name);
     let pool =
         pool.ok_or_else(|| Refusal::new(Reason::UnknownService, format!("no service {name:?}")))?;
     explanation.pool = Some(pool.name.clone());
@@ -148,7 +148,7 @@
             break;
         }
         let key = KeyHash::of(explanation.request.as_str().as_bytes());
-        let Some(chosen) = first(key, live.iter().map(|e| (e.hash, 1.0))) else {
+        let Some(chosen) = top_ranked(key, live.iter().map(|e| (e.hash, 1.0))) else {
             break;
         };
         let chosen = live.remove(chosen);
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -96,7 +96,7 @@
         self.retries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .success();
+            .record_success();
     }
 
     /// A request id that names the host, so that an operator's tool knows
