--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration that operators write: organisations, pools, policies.
+//! The fleet configuration that operators write: organisations and pools.
 //!
-//! It is one versioned document. [`FleetConfig::check`] finds what a parser
-//! can't: names given twice, names that nothing defines, values out of range.
+//! [`FleetConfig::check`] rejects what deserialisation accepts: duplicate
+//! names and keys, and values out of range.
 
 use std::collections::HashSet;
 
@@ -10,10 +10,10 @@
 use crate::error::{Error, ErrorKind};
 use crate::ids::{ModelId, OrganisationId, PoolId};
 
-/// The smallest load multiple a pool may promise. Below it, requests are
-/// refused for want of a place while engines stand idle.
+/// The smallest load multiple of a pool. Below it, requests are rejected
+/// while engines have spare capacity.
 pub const MIN_LOAD_MULTIPLE: f64 = 1.05;
-/// The largest load multiple that still says something.
+/// The largest load multiple of a pool.
 pub const MAX_LOAD_MULTIPLE: f64 = 10.0;
 /// Length of a SHA-256 digest in hexadecimal digits.
 const KEY_DIGEST_DIGITS: usize = 64;
@@ -30,49 +30,49 @@
     pub pools: Vec<Pool>,
 }
 
-/// An organisation whose callers share weight and keys.
+/// An organisation and the keys of its callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
     /// Its name.
     pub name: OrganisationId,
-    /// Its share of a pool against the other organisations' weights.
+    /// Its share of a pool relative to other organisations.
     #[serde(default = "one")]
     pub weight: u32,
-    /// SHA-256 digests, in hexadecimal, of the keys it may use.
+    /// Lower-case hexadecimal SHA-256 digests of its keys.
     #[serde(default)]
     pub key_sha256: Vec<String>,
 }
 
-/// What a pool's endpoints are.
+/// The kind of a pool's endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "serves")]
 pub enum PoolKind {
-    /// Model engines that serve these models.
+    /// Model engines.
     Engines {
-        /// Models as callers name them.
+        /// The models that they serve.
         models: Vec<ModelId>,
     },
-    /// Replicas of one plain service, named as the pool.
+    /// Instances of a service that has the pool's name.
     Service {
-        /// Whether each call may run at most once, even if unmarked.
+        /// Whether calls run at most once, even without an idempotency key.
         #[serde(default)]
         unsafe_to_repeat: bool,
     },
 }
 
-/// A pool of endpoints with its promises.
+/// A pool of endpoints and its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its name. Endpoints in the platform's list name their pool.
+    /// Its name, to which endpoints refer.
     pub name: PoolId,
     /// Engines or a service.
     #[serde(flatten)]
     pub kind: PoolKind,
-    /// No endpoint carries more than this multiple of the pool's mean load.
+    /// The most load of an endpoint, as a multiple of the pool's mean load.
     #[serde(default = "default_load_multiple")]
     pub load_multiple: f64,
-    /// How long a request may take from entry to its last byte.
+    /// Time limit of a request, from its arrival to the last byte of the response.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
 }
@@ -90,11 +90,11 @@
 }
 
 impl FleetConfig {
-    /// Checks the document as a whole.
+    /// Validates the configuration.
     ///
     /// # Errors
     ///
-    /// The first violation found, with the path of the value.
+    /// Returns the first violation, with the path of the value.
     ///
     /// # Example
     ///
@@ -115,7 +115,7 @@
         self.check_pools()
     }
 
-    /// The pool that serves a model, if any.
+    /// Returns the pool that serves a model, if any.
     pub fn pool_for_model(&self, model: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| match &pool.kind {
             PoolKind::Engines { models } => models.iter().any(|m| m.as_str() == model),
@@ -123,14 +123,14 @@
         })
     }
 
-    /// The pool of a plain service, if any.
+    /// Returns the pool of a service, if any.
     pub fn pool_for_service(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| {
             matches!(pool.kind, PoolKind::Service { .. }) && pool.name.as_str() == name
         })
     }
 
-    /// The organisation that holds a key, by the key's digest.
+    /// Returns the organisation of the key with this SHA-256 digest.
     pub fn organisation_for_key(&self, digest: &str) -> Option<&Organisation> {
         self.organisations
             .iter()
@@ -176,7 +176,7 @@
 
     fn check_pools(&self) -> Result<(), Error> {
         let mut names = HashSet::new();
-        let mut served = HashSet::new();
+        let mut models_seen = HashSet::new();
         for (i, pool) in self.pools.iter().enumerate() {
             let place = |field: &str| format!("pools[{i}].{field}");
             if !names.insert(&pool.name) {
@@ -203,7 +203,7 @@
             }
             if let PoolKind::Engines { models } = &pool.kind {
                 for model in models {
-                    if !served.insert(model) {
+                    if !models_seen.insert(model) {
                         let expected = "a model that no other pool serves";
                         return Err(Error::new(ErrorKind::Duplicate, place("models"), expected));
                     }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,24 +1,24 @@
-//! The error of this crate: one type with a closed set of kinds.
+//! The error type of this crate.
 
 use std::fmt;
 
-/// What went wrong in a check of this crate.
+/// The kind of an [`Error`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ErrorKind {
-    /// A document names something twice.
+    /// A document defines the same name or key twice.
     Duplicate,
-    /// A document names something that does not exist.
+    /// A document refers to a name that is not defined.
     Unknown,
-    /// A value lies outside its range.
+    /// A value is out of range.
     Range,
-    /// A token is not ours, was altered, or belongs to someone else.
+    /// A token is malformed, has an invalid signature, or belongs to another organisation.
     Token,
-    /// A policy's program can't be read or costs too much.
+    /// A policy's program can't be parsed or exceeds its cost limit.
     Policy,
 }
 
-/// A failed check: its kind, where it was found, and what was expected.
+/// A failed validation: its kind, the path of the value, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     kind: ErrorKind,
@@ -44,7 +44,7 @@
         self.kind
     }
 
-    /// The path of the offending value, as `pools[2].load_multiple`.
+    /// The path of the invalid value, such as `pools[2].load_multiple`.
     pub fn place(&self) -> &str {
         &self.place
     }
@@ -52,14 +52,14 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let what = match self.kind {
+        let message = match self.kind {
             ErrorKind::Duplicate => "named twice",
             ErrorKind::Unknown => "unknown name",
             ErrorKind::Range => "value out of range",
             ErrorKind::Token => "token refused",
             ErrorKind::Policy => "policy refused",
         };
-        write!(f, "{}: {what}, expected {}", self.place, self.expected)
+        write!(f, "{}: {message}, expected {}", self.place, self.expected)
     }
 }
 
--- a/crates/core/src/hosts.rs
+++ b/crates/core/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts and endpoints as the platform's lagging list shows them.
+//! Hosts and endpoints as the platform lists them.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -6,41 +6,41 @@
 use crate::ids::{BuildVersion, EndpointId, HostId, Incarnation, PoolId, ZoneId};
 use crate::rendezvous::MemberHash;
 
-/// Whether a host or endpoint may be given new work.
+/// Whether a host or endpoint accepts new work.
 ///
-/// Within one incarnation the states only move forward: what has begun to
-/// leave stays leaving, however late or reordered the news arrives.
+/// Within one incarnation the state only advances, so that a late or
+/// reordered update can't revive a leaving host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its current work and accepts no more.
     Leaving,
 }
 
-/// A host of the fleet itself: one router and one agent.
+/// A host of the fleet, which runs a router and an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// Its name.
     pub name: HostId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where its agent answers other hosts.
+    /// Where its agent listens for other hosts.
     pub agent_address: SocketAddr,
-    /// Which life of the host this is.
+    /// Identifies this run of the host.
     pub incarnation: Incarnation,
     /// Live or leaving.
     pub state: HostState,
 }
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointKind {
     /// A model engine.
     Engine,
-    /// A replica of a plain service.
+    /// An instance of a service.
     Service,
 }
 
@@ -49,45 +49,44 @@
 pub struct Endpoint {
     /// Its name.
     pub name: EndpointId,
-    /// Engine or service.
+    /// Whether it is an engine or a service.
     pub kind: EndpointKind,
     /// The pool it belongs to.
     pub pool: PoolId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where it answers HTTP.
+    /// Where it serves HTTP.
     pub address: SocketAddr,
-    /// Its size against others of the pool: requests it batches at once.
+    /// Requests that it batches at once; its weight within the pool.
     pub slots: u32,
-    /// Which life of the endpoint this is.
+    /// Identifies this run of the endpoint.
     pub incarnation: Incarnation,
     /// Live or leaving.
     pub state: HostState,
-    /// The software that it runs. It is passed on beside the list and not in it, so
-    /// that hosts of an earlier build can read the list.
+    /// The software version. Sent outside the list, so that hosts of an earlier
+    /// build can read the list.
     #[serde(skip)]
     pub build: BuildVersion,
 }
 
 impl Endpoint {
-    /// The hash of this start of the endpoint. All that is remembered or told of an
-    /// endpoint goes by it: what was seen of one start is neither believed of the
-    /// next nor laid on it, and costs no byte more than a hash of the name.
+    /// The hash of the endpoint's name and incarnation. State recorded under it
+    /// does not carry over to the endpoint's next start.
     pub fn start_hash(&self) -> MemberHash {
         let name = self.name.as_str();
         match self.incarnation {
-            // It tells nothing of its start: its name has to do.
+            // The endpoint does not report its incarnation.
             Incarnation(0) => MemberHash::of(name),
             Incarnation(start) => MemberHash::of_start(name, start),
         }
     }
 }
 
-/// The platform's list of hosts and endpoints, which lags behind the truth.
+/// The platform's list of hosts and endpoints; may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
     /// Hosts of the fleet.
     pub hosts: Vec<Host>,
-    /// Endpoints it serves.
+    /// Endpoints that the fleet dispatches to.
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,8 +1,7 @@
-//! Names and numbers that identify the objects of a fleet.
+//! Identifiers of hosts, endpoints and other objects of a fleet.
 //!
-//! Names are shared immutable strings, so that cloning one costs a counter.
-//! Each kind of name is a type of its own: an endpoint can't be passed where
-//! a host is expected.
+//! Each kind is a distinct type, so that an endpoint's name can't be passed
+//! as a host's. Cloning a name only increments a reference count.
 
 use std::fmt;
 use std::sync::Arc;
@@ -22,7 +21,7 @@
                 Self(name.into())
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -43,39 +42,39 @@
 }
 
 name! {
-    /// A host that runs a router and an agent.
+    /// The name of a host, which runs a router and an agent.
     HostId
 }
 name! {
-    /// An availability zone.
+    /// The name of an availability zone.
     ZoneId
 }
 name! {
-    /// An organisation whose callers send requests.
+    /// The name of an organisation whose callers send requests.
     OrganisationId
 }
 name! {
-    /// A pool of endpoints that serve the same models, or one service.
+    /// The name of a pool: endpoints that serve the same models or one service.
     PoolId
 }
 name! {
-    /// An endpoint: a model engine or a replica of a plain service.
+    /// The name of an endpoint: a model engine or an instance of a service.
     EndpointId
 }
 name! {
-    /// A model, as callers name it.
+    /// The name of a model in callers' requests.
     ModelId
 }
 name! {
-    /// One request of a caller, the same over all its attempts.
+    /// The ID of a caller's request, shared by all its attempts.
     RequestId
 }
 name! {
-    /// A change of configuration, chosen by its author's tool.
+    /// The ID of a configuration change, chosen by the client that submits it.
     ChangeId
 }
 name! {
-    /// The version of the software that an endpoint runs; empty where it is not known.
+    /// The version of the software that an endpoint runs; empty if unknown.
     BuildVersion
 }
 
@@ -86,13 +85,13 @@
 }
 
 impl BuildVersion {
-    /// Whether it is known.
+    /// Whether the version is known.
     pub fn is_known(&self) -> bool {
         !self.0.is_empty()
     }
 }
 
-/// The version of a configuration. It only rises.
+/// The version of a configuration; increases with each change.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -100,7 +99,7 @@
 pub struct ConfigVersion(pub u64);
 
 impl ConfigVersion {
-    /// The version that follows this one.
+    /// Returns the version that follows this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -112,7 +111,7 @@
     }
 }
 
-/// One life of a host or endpoint: a restart under the same name has a higher one.
+/// One run of a host or endpoint; higher after each restart under the same name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which endpoints and hosts exist, from a list that lags and from evidence.
+//! Membership of hosts and endpoints, merged from the platform's lists and
+//! direct observations.
 //!
-//! The platform's list lags and may show an old state again. Leaving is
-//! therefore sticky within one incarnation, and so is departure: only a
-//! higher incarnation brings a name back to life.
+//! A list may be out of date and show an earlier state again. Leaving and
+//! departed members therefore return only with a higher incarnation.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use crate::hosts::{Endpoint, Host, HostList, HostState};
 use crate::ids::{EndpointId, HostId, Incarnation};
 
-/// Lists in a row without a live name, after which it has departed.
-const ABSENT_LISTS: u32 = 3;
+/// Consecutive lists without a live member after which it has departed.
+const MAX_ABSENT_LISTS: u32 = 3;
 
 /// The merged view of hosts and endpoints.
 ///
@@ -29,11 +29,11 @@
     endpoints: HashMap<EndpointId, Endpoint>,
     departed_hosts: HashMap<HostId, Incarnation>,
     departed_endpoints: HashMap<EndpointId, Incarnation>,
-    absences: HashMap<Arc<str>, u32>,
+    absence_counts: HashMap<Arc<str>, u32>,
 }
 
 impl Membership {
-    /// Merges a list from the platform. Returns whether anything changed.
+    /// Merges a list from the platform and returns whether anything changed.
     pub fn merge(&mut self, list: &HostList) -> bool {
         let mut changed = false;
         for host in &list.hosts {
@@ -42,11 +42,11 @@
         for endpoint in &list.endpoints {
             changed |= self.merge_endpoint(endpoint);
         }
-        changed | self.drop_unlisted(list)
+        changed | self.remove_unlisted(list)
     }
 
-    /// Marks an endpoint as leaving on direct evidence: it said so itself, or
-    /// another host saw it. Returns whether that was news.
+    /// Marks an endpoint as leaving on a report by itself or another host.
+    /// Returns whether its state changed.
     pub fn mark_leaving(&mut self, name: &EndpointId, incarnation: Incarnation) -> bool {
         match self.endpoints.get_mut(name) {
             Some(known) if known.incarnation == incarnation && known.state == HostState::Live => {
@@ -57,12 +57,12 @@
         }
     }
 
-    /// The endpoint of a name.
+    /// Returns an endpoint by its name.
     pub fn endpoint(&self, name: &EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(name)
     }
 
-    /// All hosts and endpoints, by name.
+    /// Returns all hosts and endpoints, sorted by name.
     pub fn list(&self) -> HostList {
         let mut hosts: Vec<_> = self.hosts.values().cloned().collect();
         let mut endpoints: Vec<_> = self.endpoints.values().cloned().collect();
@@ -75,7 +75,7 @@
         if self
             .departed_hosts
             .get(&host.name)
-            .is_some_and(|gone| *gone >= host.incarnation)
+            .is_some_and(|departed| *departed >= host.incarnation)
         {
             return false;
         }
@@ -97,7 +97,7 @@
 
     fn merge_endpoint(&mut self, endpoint: &Endpoint) -> bool {
         let departed = self.departed_endpoints.get(&endpoint.name);
-        if departed.is_some_and(|gone| *gone >= endpoint.incarnation) {
+        if departed.is_some_and(|departed| *departed >= endpoint.incarnation) {
             return false;
         }
         let mut merged = endpoint.clone();
@@ -116,10 +116,9 @@
         true
     }
 
-    /// A name that lists no longer show has departed: at once if it was
-    /// leaving, else after [`ABSENT_LISTS`] lists in a row, since one list may
-    /// be from before the name joined.
-    fn drop_unlisted(&mut self, list: &HostList) -> bool {
+    /// Removes members that the list lacks: leaving ones at once, live ones after
+    /// [`MAX_ABSENT_LISTS`] lists, since a list may predate the member's start.
+    fn remove_unlisted(&mut self, list: &HostList) -> bool {
         let before = self.hosts.len() + self.endpoints.len();
         let listed: HashSet<&str> = list
             .hosts
@@ -127,24 +126,24 @@
             .map(|host| host.name.as_str())
             .chain(list.endpoints.iter().map(|endpoint| endpoint.name.as_str()))
             .collect();
-        let absences = &mut self.absences;
-        let mut departs = |name: &str, state: HostState| {
+        let absence_counts = &mut self.absence_counts;
+        let mut has_departed = |name: &str, state: HostState| {
             if listed.contains(name) {
-                absences.remove(name);
+                absence_counts.remove(name);
                 return false;
             }
-            let count = absences.entry(name.into()).or_insert(0);
+            let count = absence_counts.entry(name.into()).or_insert(0);
             *count += 1;
-            state == HostState::Leaving || *count >= ABSENT_LISTS
+            state == HostState::Leaving || *count >= MAX_ABSENT_LISTS
         };
         let hosts = self
             .hosts
-            .extract_if(|name, host| departs(name.as_str(), host.state));
+            .extract_if(|name, host| has_departed(name.as_str(), host.state));
         self.departed_hosts
             .extend(hosts.map(|(name, host)| (name, host.incarnation)));
         let endpoints = self
             .endpoints
-            .extract_if(|name, e| departs(name.as_str(), e.state));
+            .extract_if(|name, e| has_departed(name.as_str(), e.state));
         self.departed_endpoints
             .extend(endpoints.map(|(name, e)| (name, e.incarnation)));
         self.hosts.len() + self.endpoints.len() != before
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,7 +1,7 @@
-//! What a caller is told at the end of its request, classified in one place.
+//! Request outcomes and the reasons for failures, as reported to callers.
 //!
-//! `not-run` is a promise: it is said only if no byte of the request reached
-//! an endpoint, or the endpoint's contract says that it did not start.
+//! `not-run` is a guarantee: it is reported only if no byte of the request
+//! reached an endpoint, or the endpoint's contract states that it did not start.
 
 use std::fmt;
 
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// An endpoint ran it.
+    /// An endpoint ran the request.
     Ran,
-    /// No endpoint ran it or will run it.
+    /// No endpoint ran the request or will run it.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -29,64 +29,64 @@
     }
 }
 
-/// Why a request ended without the endpoint's own answer.
+/// Why a request ended without a complete response from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The body is not what the API expects.
+    /// The body does not conform to the API.
     InvalidRequest,
-    /// The body is larger than the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
     /// The request did not arrive in time.
     RequestTooSlow,
-    /// No key, or a key that no organisation holds.
+    /// The key is missing or belongs to no organisation.
     UnknownKey,
     /// No pool serves the model.
     UnknownModel,
-    /// No pool is the service.
+    /// No pool provides the service.
     UnknownService,
-    /// A token was altered, or belongs to another organisation.
+    /// A token is invalid or belongs to another organisation.
     TokenRefused,
-    /// The host has no view of the fleet that is recent enough.
+    /// The host's view of the fleet is missing or too old.
     NoView,
-    /// The pool has no endpoint that takes work.
+    /// The pool has no live endpoint.
     NoEndpoint,
-    /// Every engine asked is at its load bound.
+    /// Every engine tried is at its load bound.
     AtBound,
     /// The organisation is over its share and the pool is full.
     OverShare,
-    /// The request could not end before its deadline.
+    /// The request could not complete before its deadline.
     DeadlineTooClose,
-    /// The platform's table does not answer, so a claim can't be made.
+    /// The store is unavailable, so the request can't be claimed.
     ClaimsUnavailable,
-    /// A request with the same key is running.
+    /// A request with the same idempotency key is running.
     KeyInUse,
-    /// A request with the same key ended, or may have run.
+    /// A request with the same idempotency key completed or may have run.
     KeyUsed,
-    /// The key was used with another body.
+    /// The idempotency key was used with another body.
     KeyMismatch,
-    /// The host is leaving and takes no new requests.
+    /// The host is leaving and accepts no new requests.
     Leaving,
-    /// The host holds as many bytes of requests as its memory allows.
+    /// The host's memory limit for buffered requests is reached.
     HostFull,
-    /// Endpoints ended under the same request before: it is sent to no more.
+    /// The request crashed endpoints before and is not retried.
     PoisonRequest,
-    /// Every endpoint of the pool asked to be sent nothing for a while.
+    /// Every endpoint of the pool backs off.
     EndpointsBackOff,
     /// The endpoint could not be reached.
     EndpointUnreachable,
-    /// The endpoint refused: it did not start the request.
+    /// The endpoint rejected the request without starting it.
     EndpointRefused,
-    /// The endpoint stopped answering before the end.
+    /// The connection to the endpoint ended before the response did.
     EndpointLost,
-    /// The endpoint's answer can't be read.
+    /// The endpoint's response can't be parsed.
     EndpointGarbage,
-    /// The request passed its deadline at the endpoint.
+    /// The deadline passed while the endpoint processed the request.
     DeadlinePassed,
 }
 
 impl Reason {
-    /// Each reason, for documents and tests that go through all.
+    /// All reasons, in declaration order.
     pub const ALL: [Reason; 25] = [
         Reason::InvalidRequest,
         Reason::BodyTooLarge,
@@ -115,7 +115,7 @@
         Reason::DeadlinePassed,
     ];
 
-    /// The code in error bodies and metrics, the same as in the docs.
+    /// The stable code in error bodies and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Reason::InvalidRequest => "invalid-request",
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The HTTP status of the answer.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Reason::InvalidRequest => 400,
@@ -174,10 +174,10 @@
         }
     }
 
-    /// What the router can prove about the attempt that ended so.
+    /// Whether a request that fails for this reason ran.
     ///
-    /// `KeyInUse` and `KeyUsed` speak of the repeat, which never runs; the
-    /// first request's own outcome is in the body.
+    /// `KeyInUse` and `KeyUsed` describe the repeated request, which never runs;
+    /// the response body carries the outcome of the original.
     pub fn outcome(self) -> Outcome {
         match self {
             Reason::EndpointLost | Reason::EndpointGarbage | Reason::DeadlinePassed => {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Seconds after which a repeat makes sense, if it ever does.
+    /// The value of `Retry-After` in seconds, if a retry can succeed.
     pub fn retry_after_s(self) -> Option<u32> {
         match self {
             Reason::AtBound | Reason::EndpointRefused | Reason::EndpointUnreachable => Some(1),
