--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: which request may run under a caller's idempotency key.
+//! Claims, which run at most one request per idempotency key.
 //!
-//! A claim is one row of the platform's table, inserted if absent before the
-//! request is dispatched. The table decides, so routers may disagree on
-//! everything else. A claim that never ended stays: its request may have run.
+//! A claim is a row of the store, inserted if absent before the request is
+//! dispatched. A claim whose end was not recorded stays, since its request may
+//! have run.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -10,48 +10,48 @@
 use crate::ids::{HostId, OrganisationId, RequestId};
 use crate::outcome::{Outcome, Reason};
 
-/// Longest idempotency key that is taken.
+/// Maximum length of an idempotency key.
 pub const MAX_CLAIM_KEY_BYTES: usize = 255;
-/// A claim still running this long after its deadline is of unknown outcome.
-const OVERDUE_MS: u64 = 5_000;
+/// How long after its deadline a running claim counts as of unknown outcome.
+const DEADLINE_GRACE_MS: u64 = 5_000;
 
-/// How far a claimed request is.
+/// The state of a claimed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
-    /// It may be dispatched, or is, by the router that claimed it.
+    /// Dispatched, or about to be, by the router that claimed it.
     Running,
-    /// It ended, with this outcome.
+    /// Ended with this outcome.
     Ended(Outcome),
 }
 
-/// The row of a claim.
+/// A claim as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// The request that holds the claim.
     pub request: RequestId,
     /// The host whose router dispatches it.
     pub host: HostId,
-    /// Digest of the request's body: a key may not be used with another one.
+    /// Digest of the request's body; the key is not valid with another body.
     pub body_sha256: String,
-    /// When it must have ended, in milliseconds of Unix time.
+    /// The request's deadline, in milliseconds of Unix time.
     pub deadline_at_ms: u64,
-    /// How far it is.
+    /// The state of the request.
     pub state: ClaimState,
 }
 
-/// What a router does after it found a claim in its way.
+/// How a router handles a request whose idempotency key is already claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// The claim is this request's own: its write took effect unanswered.
+    /// The claim is this request's own: the response to its write was lost.
     Own,
-    /// The earlier request certainly did not run: replace the row.
+    /// The earlier request did not run: replace its claim.
     Replace,
-    /// The earlier request ran, runs, or may have run.
+    /// The earlier request runs, ran or may have run.
     Refuse(Reason, Outcome),
 }
 
-/// The table's key of a claim.
+/// Returns the store key of a claim.
 pub fn claim_row_key(organisation: &OrganisationId, key: &str) -> String {
     use std::fmt::Write;
     let mut hasher = Sha256::new();
@@ -66,7 +66,7 @@
 }
 
 impl ClaimRow {
-    /// Decides what a request with the same key does about this row.
+    /// Decides how to handle a request with the same idempotency key.
     ///
     /// # Example
     ///
@@ -108,6 +108,6 @@
     }
 
     fn is_overdue(&self, now_ms: u64) -> bool {
-        now_ms > self.deadline_at_ms + OVERDUE_MS
+        now_ms > self.deadline_at_ms + DEADLINE_GRACE_MS
     }
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -55,7 +55,7 @@
     },
     /// Instances of a service that has the pool's name.
     Service {
-        /// Whether calls run at most once, even without an idempotency key.
+        /// Whether calls run at most once, whatever their method and headers.
         #[serde(default)]
         unsafe_to_repeat: bool,
     },
--- a/crates/core/src/load_table.rs
+++ b/crates/core/src/load_table.rs
@@ -1,49 +1,43 @@
-//! What hosts tell each other of their engines' load: enough for the mean.
+//! The load totals that hosts exchange to estimate a pool's mean load.
 //!
-//! An owner needs the mean load of a pool to know its limit, and it needs
-//! little else: each slot is asked of the owner itself. So an entry is a
-//! host's total for a pool, not a value for each engine, and a round sends
-//! the freshest entries to one peer. A mean over hundreds of hosts moves
-//! slowly, so that entries of some seconds' age do; the measurement is in
-//! `docs/decisions/0004-exchange.md`.
+//! An owner derives its limit from the mean alone, so an entry is a host's total
+//! for a pool rather than a value per engine. Each exchange sends the newest
+//! entries to one peer; the mean changes slowly enough for this.
 
 use std::collections::{BTreeMap, HashSet};
 use std::hash::Hash;
 
-/// One host's total for one pool.
+/// A host's total load in a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostLoad {
-    /// Requests in progress on the engines it owns.
+    /// Requests in progress on the engines that the host owns.
     pub in_progress: u32,
-    /// The weight of these engines.
+    /// Total weight of these engines.
     pub weight: f64,
 }
 
-/// An entry as it travels.
+/// A host's load as sent to peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadEntry<H> {
     /// The host.
     pub host: H,
-    /// Its total.
+    /// Its total load.
     pub load: HostLoad,
-    /// How long ago the host said so.
+    /// Time since the host reported the load.
     pub age_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct StoredLoad {
     load: HostLoad,
-    said_at_ms: u64,
+    reported_at_ms: u64,
 }
 
-/// A mean load sampled from owners' answers: fresh where the table is late.
+/// A moving mean of the engine loads in owners' responses.
 ///
-/// Each owner that is asked answers with its engine's load, so that a router
-/// sees a few dozen engines a second. Only engines that the chat's hash picked
-/// may be sampled: a chat's home is one of the busier engines more often than
-/// not. The sample is sent along with asks, and tells an owner of a rise some
-/// seconds before the table does: with the table alone, a pool that rises
-/// tenfold refuses for a minute.
+/// Routers send it with slot requests, so that owners raise their limits before
+/// the load table shows a steep rise. Only engines picked by the chat's hash
+/// may be sampled: homes are busier than average and would bias the mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadSampler {
     mean: f64,
@@ -51,25 +45,25 @@
 }
 
 impl LoadSampler {
-    /// Samples before the mean says anything.
-    const SAMPLES_MIN: u32 = 16;
+    /// Samples below which there is no mean.
+    const MIN_SAMPLES: u32 = 16;
     /// Weight of a new sample.
-    const STEP: f64 = 1.0 / 16.0;
+    const SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
 
-    /// Takes one engine's load by unit of weight.
+    /// Records an engine's load per unit of weight.
     pub fn record(&mut self, load: f64) {
-        let step = Self::STEP.max(1.0 / f64::from(self.samples + 1));
-        self.mean += step * (load - self.mean);
+        let sample_weight = Self::SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples + 1));
+        self.mean += sample_weight * (load - self.mean);
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The mean, once there are enough samples.
+    /// Returns the mean load per unit of weight, once there are enough samples.
     pub fn mean(&self) -> Option<f64> {
-        (self.samples >= Self::SAMPLES_MIN).then_some(self.mean)
+        (self.samples >= Self::MIN_SAMPLES).then_some(self.mean)
     }
 }
 
-/// The totals of all hosts, as one host knows them.
+/// The load totals of all hosts, as known to one host.
 ///
 /// # Example
 ///
@@ -82,111 +76,108 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct LoadTable<H> {
-    own: H,
+    local_host: H,
     hosts: HashSet<H>,
-    /// In order, so that the mean's sum is the same for the same input.
-    entries: BTreeMap<H, Known>,
+    /// Ordered, so that the floating-point sum of the mean is deterministic.
+    entries: BTreeMap<H, StoredLoad>,
 }
 
-/// An entry that is older than this no longer counts: its host is gone, and
-/// another one owns its engines.
-const ENTRY_AGE_MAX_MS: u64 = 15_000;
-/// Share of its load that an entry of the highest age no longer counts.
-const TRUST_LOST: f64 = 0.05;
+/// Older entries do not count: another host owns the engines by then.
+const MAX_ENTRY_AGE_MS: u64 = 15_000;
+/// Fraction of its load by which an entry of the maximum age is discounted.
+const MAX_AGE_DISCOUNT: f64 = 0.05;
 
 impl<H: Clone + Eq + Hash + Ord> LoadTable<H> {
-    /// A table of a host that knows nothing of others.
-    pub fn new(own: H) -> Self {
+    /// Creates a table without entries.
+    pub fn new(local_host: H) -> Self {
         Self {
-            own,
+            local_host,
             hosts: HashSet::new(),
             entries: BTreeMap::new(),
         }
     }
 
-    /// Sets this host's own total.
+    /// Sets the local host's total load.
     pub fn set_local(&mut self, load: HostLoad, now_ms: u64) {
         self.entries.insert(
-            self.own.clone(),
-            Known {
+            self.local_host.clone(),
+            StoredLoad {
                 load,
-                said_at_ms: now_ms,
+                reported_at_ms: now_ms,
             },
         );
     }
 
-    /// The freshest `most` entries, this host's own first.
-    pub fn freshest(&self, now_ms: u64, most: usize) -> Vec<LoadEntry<H>> {
+    /// Returns the newest entries, at most `max_entries`, the local host's first.
+    pub fn freshest(&self, now_ms: u64, max_entries: usize) -> Vec<LoadEntry<H>> {
         let mut entries: Vec<_> = self
             .entries
             .iter()
-            .map(|(host, known)| LoadEntry {
+            .map(|(host, stored)| LoadEntry {
                 host: host.clone(),
-                load: known.load,
-                age_ms: now_ms.saturating_sub(known.said_at_ms),
+                load: stored.load,
+                age_ms: now_ms.saturating_sub(stored.reported_at_ms),
             })
-            .filter(|entry| entry.age_ms <= ENTRY_AGE_MAX_MS)
+            .filter(|entry| entry.age_ms <= MAX_ENTRY_AGE_MS)
             .collect();
-        let is_other = |entry: &LoadEntry<H>| entry.host != self.own;
+        let is_remote = |entry: &LoadEntry<H>| entry.host != self.local_host;
         entries.sort_by(|a, b| {
-            let order = (is_other(a), a.age_ms).cmp(&(is_other(b), b.age_ms));
+            let order = (is_remote(a), a.age_ms).cmp(&(is_remote(b), b.age_ms));
             order.then_with(|| a.host.cmp(&b.host))
         });
-        entries.truncate(most);
+        entries.truncate(max_entries);
         entries
     }
 
-    /// Merges entries from a peer; the younger one of a host wins. Hosts that
-    /// are not in the view are left out.
+    /// Merges a peer's entries, keeping the newest of each host and ignoring
+    /// hosts that are not in the view.
     pub fn merge(&mut self, entries: &[LoadEntry<H>], now_ms: u64) {
         for entry in entries {
-            if entry.host == self.own || !self.hosts.contains(&entry.host) {
+            if entry.host == self.local_host || !self.hosts.contains(&entry.host) {
                 continue;
             }
-            let said_at_ms = now_ms.saturating_sub(entry.age_ms);
-            let newer = self
+            let reported_at_ms = now_ms.saturating_sub(entry.age_ms);
+            let is_newer = self
                 .entries
                 .get(&entry.host)
-                .is_none_or(|k| k.said_at_ms < said_at_ms);
-            if newer {
+                .is_none_or(|stored| stored.reported_at_ms < reported_at_ms);
+            if is_newer {
                 self.entries.insert(
                     entry.host.clone(),
-                    Known {
+                    StoredLoad {
                         load: entry.load,
-                        said_at_ms,
+                        reported_at_ms,
                     },
                 );
             }
         }
     }
 
-    /// Forgets hosts that are not in the view: others own their engines now,
-    /// and count them.
+    /// Sets the hosts of the view and removes the entries of all others, whose
+    /// engines now count for their new owners.
     pub fn retain_hosts(&mut self, hosts: &[H]) {
         self.hosts = hosts.iter().cloned().collect();
         let Self {
-            own,
+            local_host,
             hosts,
             entries,
         } = self;
-        entries.retain(|host, _| host == own || hosts.contains(host));
+        entries.retain(|host, _| host == local_host || hosts.contains(host));
     }
 
-    /// Mean load by unit of weight over the hosts that are known.
+    /// The mean load per unit of weight over the known hosts.
     ///
-    /// An entry's load counts a little less the older it is: a host that died
-    /// leaves its last entry, while its engines empty. It may count only a
-    /// little less, or the mean falls below the loads themselves: engines then
-    /// stand over their limits, refuse, and lower the mean further. With all
-    /// trust lost over the age, rounds of some seconds refused 43 %.
+    /// Old loads are discounted, since the engines of a crashed host drain while
+    /// its last entry remains. The discount is small: a larger one would lower
+    /// the limits below current loads, and the rejections lower the mean further.
     pub fn mean(&self, now_ms: u64) -> f64 {
         let (mut in_progress, mut weight) = (0.0, 0.0);
-        for known in self.entries.values() {
-            let age_ms = now_ms.saturating_sub(known.said_at_ms);
-            if age_ms <= ENTRY_AGE_MAX_MS {
-                let trust = 1.0 - TRUST_LOST * age_ms as f64 / ENTRY_AGE_MAX_MS as f64;
-                in_progress += trust * f64::from(known.load.in_progress);
-                weight += known.load.weight;
+        for stored in self.entries.values() {
+            let age_ms = now_ms.saturating_sub(stored.reported_at_ms);
+            if age_ms <= MAX_ENTRY_AGE_MS {
+                let factor = 1.0 - MAX_AGE_DISCOUNT * age_ms as f64 / MAX_ENTRY_AGE_MS as f64;
+                in_progress += factor * f64::from(stored.load.in_progress);
+                weight += stored.load.weight;
             }
         }
         if weight > 0.0 {
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -7,7 +7,7 @@
 //! again. The first ask is never held, so that a dead owner is found out at
 //! once.
 
-use crate::rendezvous::{KeyHash, MemberHash, score_of, unit, unit_of};
+use crate::rendezvous::{KeyHash, MemberHash, min_unit_for_score, unit_hash, unit_score};
 
 /// An engine that a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -420,18 +420,18 @@
         unit: 0.0,
     };
     for (i, candidate) in candidates.iter().enumerate() {
-        let unit = unit(key, candidate.hash);
+        let unit = unit_hash(key, candidate.hash);
         if candidate.weight == pass.weight && unit < pass.unit {
             continue;
         }
-        let s = score_of(unit, candidate.weight);
+        let s = unit_score(unit, candidate.weight);
         let at = best.partition_point(|(better, _)| *better >= s);
         best.insert(at, (s, i));
         best.truncate(most);
         if let Some((worst, _)) = best.last().filter(|_| best.len() == most) {
             pass = Pass {
                 weight: candidate.weight,
-                unit: unit_of(*worst, candidate.weight),
+                unit: min_unit_for_score(*worst, candidate.weight),
             };
         }
     }
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -1,12 +1,12 @@
-//! Weighted rendezvous hashing: who comes first for a key.
+//! Weighted rendezvous hashing.
 //!
-//! Every party that knows the same members gets the same order, and a member
-//! that joins or leaves moves only the keys that it wins or held. We use it
-//! for an engine's owner among the hosts and for a chat's home among engines.
+//! Hosts with the same members rank them alike, and a member that joins or
+//! leaves moves only its own keys. Selects an engine's owner among the hosts
+//! and a chat's home among the engines.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The hash of a member's name, computed once when a view is built.
+/// The hash of a member's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MemberHash(pub u64);
 
@@ -16,19 +16,19 @@
         Self(xxh3_64(name.as_bytes()))
     }
 
-    /// Hashes one start of a member that starts again by its name.
+    /// Hashes a member's name and one of its starts.
     pub fn of_start(name: &str, start: u64) -> Self {
         Self(xxh3_64_with_seed(name.as_bytes(), start))
     }
 
-    /// The low half of the hash: how organisations, hosts and pools are named
-    /// between our processes, where bytes are dear.
+    /// The low half of the hash, which identifies organisations, hosts and pools
+    /// in compact messages.
     pub fn short(self) -> u32 {
         self.0 as u32
     }
 }
 
-/// The hash of a key that is to be placed.
+/// The hash of a key that is assigned to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyHash(pub u64);
 
@@ -39,33 +39,33 @@
     }
 }
 
-/// A number in (0, 1) that is a member's own for a key.
-pub(crate) fn unit(key: KeyHash, member: MemberHash) -> f64 {
+/// A uniform pseudorandom number in (0, 1) for a key and a member.
+pub(crate) fn unit_hash(key: KeyHash, member: MemberHash) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     let hash = xxh3_64_with_seed(&member.0.to_le_bytes(), key.0);
-    let whole = (hash >> (u64::BITS - MANTISSA_BITS)) as f64;
-    (whole + 0.5) / (1u64 << MANTISSA_BITS) as f64
+    let mantissa = (hash >> (u64::BITS - MANTISSA_BITS)) as f64;
+    (mantissa + 0.5) / (1u64 << MANTISSA_BITS) as f64
 }
 
-/// The score of a member for a key: the highest wins.
+/// The score of a member for a key; the highest ranks first.
 ///
 /// `-weight / ln(u)` with `u` uniform in (0, 1) gives each member a share of
 /// the keys in proportion to its weight.
 pub fn score(key: KeyHash, member: MemberHash, weight: f64) -> f64 {
-    score_of(unit(key, member), weight)
+    unit_score(unit_hash(key, member), weight)
 }
 
-pub(crate) fn score_of(unit: f64, weight: f64) -> f64 {
+pub(crate) fn unit_score(unit: f64, weight: f64) -> f64 {
     -weight / unit.ln()
 }
 
-/// The unit that a member of `weight` must pass to score more than `score`.
-pub(crate) fn unit_of(score: f64, weight: f64) -> f64 {
+/// The unit hash above which a member of `weight` scores more than `score`.
+pub(crate) fn min_unit_for_score(score: f64, weight: f64) -> f64 {
     (-weight / score).exp()
 }
 
-/// The index of the member that comes first for a key, or `None` if there
-/// are no members. Members are pairs of hash and weight.
+/// Returns the index of the member with the highest score for a key, or `None`
+/// without members. Members are pairs of hash and weight.
 ///
 /// # Example
 ///
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,12 +1,11 @@
-//! A budget for retries: a share of the successes, so that an outage is not
-//! multiplied by everyone's second tries.
+//! A retry budget, which keeps retries from multiplying the load of an outage.
 
-/// What one success adds: one retry for ten successes.
-const EARNED: f64 = 0.1;
-/// Retries that a router may save up, and has at its start.
-const SAVED_MAX: f64 = 20.0;
+/// Retries that one success adds.
+const RETRIES_PER_SUCCESS: f64 = 0.1;
+/// Largest budget, and the initial one.
+const MAX_RETRIES: f64 = 20.0;
 
-/// The retries that a router may make.
+/// The retries available to a router.
 ///
 /// # Example
 ///
@@ -17,27 +16,29 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    left: f64,
+    retries: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { left: SAVED_MAX }
+        Self {
+            retries: MAX_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// A request was answered at its first try.
+    /// Records a request that succeeded on its first attempt.
     pub fn record_success(&mut self) {
-        self.left = (self.left + EARNED).min(SAVED_MAX);
+        self.retries = (self.retries + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
     }
 
-    /// Takes a retry, if there is one left.
+    /// Consumes a retry; returns `false` if none is available.
     pub fn take(&mut self) -> bool {
-        if self.left < 1.0 {
+        if self.retries < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.retries -= 1.0;
         true
     }
 }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,20 +1,20 @@
-//! Puts a stream's events in order: repeats dropped, gaps found.
+//! Detects duplicate and missing events in a stream.
 
-/// What to do with an event that arrived.
+/// How to handle a received event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It is the next one: send it on.
+    /// The next event: forward it.
     Forward,
-    /// It was there before: drop it.
+    /// A duplicate: drop it.
     Repeat,
-    /// Events before it are missing: fetch the stream again from `from`.
+    /// Earlier events are missing: resume the stream at `from`.
     Gap {
-        /// The first event that is missing.
+        /// The first missing event.
         from: u64,
     },
 }
 
-/// The place in one stream. Events are numbered from 0.
+/// The position in a stream, whose events are numbered from 0.
 ///
 /// # Example
 ///
@@ -32,17 +32,17 @@
 }
 
 impl StreamOrder {
-    /// A stream whose first wanted event is `next`.
+    /// Creates a position at which `next` is the first expected event.
     pub fn starting_at(next: u64) -> Self {
         Self { next }
     }
 
-    /// The next event that is wanted.
+    /// The next expected event.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Takes an event's number.
+    /// Classifies an event by its number and advances past the next one.
     pub fn arrive(&mut self, number: u64) -> Arrival {
         if number < self.next {
             return Arrival::Repeat;
--- a/crates/core/src/token.rs
+++ b/crates/core/src/token.rs
@@ -1,8 +1,8 @@
-//! Signed tokens that callers carry for us: a chat's home, a stream's place.
+//! Signed tokens with a chat's home or a stream's position.
 //!
-//! Hosts keep nothing, so what must outlive a router travels with the caller.
-//! A token is `base64url(fields) . base64url(HMAC-SHA256)`. It names the
-//! organisation, and another organisation's token is refused.
+//! Hosts store no such state: callers return it, to any router. A token is
+//! `base64url(fields) . base64url(HMAC-SHA256)` and valid only for the
+//! organisation in its fields.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -14,12 +14,12 @@
 use crate::error::{Error, ErrorKind};
 use crate::ids::{EndpointId, OrganisationId, RequestId};
 
-/// Longest token that is read at all.
-const TOKEN_MAX_BYTES: usize = 1_024;
-/// Bytes of the signature that travel: forging one takes 2^128 tries.
+/// Tokens longer than this are rejected unparsed.
+const MAX_TOKEN_BYTES: usize = 1_024;
+/// Length of the truncated HMAC in a token.
 const SIGNATURE_BYTES: usize = 16;
 
-/// Signs and reads tokens with the fleet's key.
+/// Signs and verifies tokens with the fleet's key.
 #[derive(Clone)]
 pub struct TokenKey(Hmac<Sha256>);
 
@@ -29,71 +29,71 @@
     }
 }
 
-/// A chat's home: the engine that most likely holds its prefix.
+/// A chat's home: the engine that most likely caches its prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
 pub struct HomeHint {
-    /// Whose chat it is.
+    /// The organisation of the chat.
     pub organisation: OrganisationId,
-    /// The engine that served it last.
+    /// The engine that last served the chat.
     pub endpoint: EndpointId,
 }
 
-/// Where a stream runs, so that any router can go on with it.
+/// Where a stream runs; lets any router resume it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
 pub struct StreamPlace {
-    /// Whose request it is.
+    /// The organisation of the request.
     pub organisation: OrganisationId,
-    /// The request.
+    /// The ID of the request.
     pub request: RequestId,
-    /// The engine that runs it.
+    /// The engine that runs the request.
     pub endpoint: EndpointId,
-    /// The caller's number of the engine's first event: above 0 if another
-    /// engine began the stream.
+    /// The number, in the caller's stream, of this engine's first event; above 0
+    /// if another engine began the stream.
     pub base: u64,
 }
 
 impl TokenKey {
-    /// A key from the fleet's secret.
+    /// Creates a key from the fleet's secret.
     ///
     /// # Panics
     ///
-    /// Never: HMAC takes keys of any length.
+    /// Never: HMAC accepts keys of any length.
     pub fn new(secret: &[u8]) -> Self {
         Self(Hmac::new_from_slice(secret).expect("HMAC takes any length"))
     }
 
-    /// Signs a home.
+    /// Signs a chat's home.
     pub fn sign_home(&self, home: &HomeHint) -> String {
         self.sign("h", home)
     }
 
-    /// Reads a home.
+    /// Verifies a token and returns the chat's home.
     ///
     /// # Errors
     ///
-    /// If the token is not ours or belongs to another organisation.
+    /// If the token is invalid or belongs to another organisation.
     pub fn read_home(&self, token: &str, caller: &OrganisationId) -> Result<HomeHint, Error> {
         let home: HomeHint = self.read("h", token)?;
         if home.organisation != *caller {
-            return Err(refused("a token of the caller's own organisation"));
+            return Err(token_error("a token of the caller's own organisation"));
         }
         Ok(home)
     }
 
-    /// Signs a stream's place.
+    /// Signs a stream's position.
     pub fn sign_place(&self, place: &StreamPlace) -> String {
         self.sign("s", place)
     }
 
-    /// Reads a stream's place.
+    /// Verifies a token and returns the stream's position.
     ///
     /// # Errors
     ///
-    /// If the token is not ours or belongs to another organisation.
+    /// If the token is invalid or belongs to another organisation.
     pub fn read_place(&self, token: &str, caller: &OrganisationId) -> Result<StreamPlace, Error> {
         let place: StreamPlace = self.read("s", token)?;
         if place.organisation != *caller {
-            return Err(refused("a token of the caller's own organisation"));
+            return Err(token_error("a token of the caller's own organisation"));
         }
         Ok(place)
     }
@@ -106,29 +106,29 @@
     }
 
     fn read<T: DeserializeOwned>(&self, kind: &str, token: &str) -> Result<T, Error> {
-        if token.len() > TOKEN_MAX_BYTES {
-            return Err(refused("at most 1,024 bytes"));
+        if token.len() > MAX_TOKEN_BYTES {
+            return Err(token_error("at most 1,024 bytes"));
         }
         let (body, signature) = token
             .split_once('.')
-            .ok_or_else(|| refused("two parts with a dot between"))?;
+            .ok_or_else(|| token_error("two parts with a dot between"))?;
         let signature = URL_SAFE_NO_PAD
             .decode(signature)
-            .map_err(|_| refused("a base64url signature"))?;
+            .map_err(|_| token_error("a base64url signature"))?;
         if signature.len() != SIGNATURE_BYTES {
-            return Err(refused("a signature of 16 bytes"));
+            return Err(token_error("a signature of 16 bytes"));
         }
         let mut mac = self.0.clone();
         mac.update(body.as_bytes());
         mac.verify_truncated_left(&signature)
-            .map_err(|_| refused("this fleet's signature"))?;
+            .map_err(|_| token_error("this fleet's signature"))?;
         let fields = body
             .strip_prefix(kind)
-            .ok_or_else(|| refused("a token of this kind"))?;
+            .ok_or_else(|| token_error("a token of this kind"))?;
         let json = URL_SAFE_NO_PAD
             .decode(fields)
-            .map_err(|_| refused("base64url fields"))?;
-        serde_json::from_slice(&json).map_err(|_| refused("known fields"))
+            .map_err(|_| token_error("base64url fields"))?;
+        serde_json::from_slice(&json).map_err(|_| token_error("known fields"))
     }
 
     fn signature(&self, body: &str) -> Vec<u8> {
@@ -138,6 +138,6 @@
     }
 }
 
-fn refused(expected: &str) -> Error {
+fn token_error(expected: &str) -> Error {
     Error::new(ErrorKind::Token, "token", expected)
 }
