--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -83,7 +83,7 @@
         load: u32,
     },
     /// No owner answers, and the engine may not be used.
-    Absent,
+    Unavailable,
 }
 
 impl SlotResponse {
@@ -92,7 +92,7 @@
         match self {
             SlotResponse::Granted { load } => Some(load - 1),
             SlotResponse::AtBound { load } | SlotResponse::OverShare { load } => Some(load),
-            SlotResponse::Estimated { .. } | SlotResponse::Absent => None,
+            SlotResponse::Estimated { .. } | SlotResponse::Unavailable => None,
         }
     }
 }
@@ -236,7 +236,7 @@
                 self.any_answer = true;
                 self.estimated.push((engine, load));
             }
-            SlotResponse::Absent => {}
+            SlotResponse::Unavailable => {}
         }
         if self.waiting > 0 {
             return PlacementStep::AwaitResponses;
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -140,7 +140,8 @@
     let mut placement = search(Home::Hinted(0));
     let mut step = placement.start(&candidates);
     while let PlacementStep::RequestSlots { engines, .. } = step {
-        let answer = |engine| placement.record_response(&candidates, engine, SlotResponse::Absent);
+        let answer =
+            |engine| placement.record_response(&candidates, engine, SlotResponse::Unavailable);
         step = engines.into_iter().map(answer).last().unwrap();
     }
     assert_that!(step, eq(&PlacementStep::NoOwner));
@@ -151,7 +152,7 @@
     let candidates = candidates(8);
     let mut placement = search(Home::Hinted(0));
     placement.start(&candidates);
-    let others = asked(placement.record_response(&candidates, 0, SlotResponse::Absent));
+    let others = asked(placement.record_response(&candidates, 0, SlotResponse::Unavailable));
     assert_that!(others, not(contains(eq(&0))));
 }
 
@@ -178,7 +179,7 @@
     let engines = asked(placement.start(&candidates));
     placement.record_response(&candidates, engines[0], SlotResponse::Estimated { load: 0 });
     placement.record_response(&candidates, engines[1], SlotResponse::Granted { load: 9 });
-    let step = placement.record_response(&candidates, engines[2], SlotResponse::Absent);
+    let step = placement.record_response(&candidates, engines[2], SlotResponse::Unavailable);
     let to = engines[1];
     assert_that!(
         step,
--- a/crates/router/src/owners.rs
+++ b/crates/router/src/owners.rs
@@ -140,7 +140,7 @@
             Ok(Some(SlotAnswer::OverShare { in_progress })) => {
                 Some(SlotResponse::OverShare { load: in_progress })
             }
-            Ok(Some(SlotAnswer::Leaving)) => Some(SlotResponse::Absent),
+            Ok(Some(SlotAnswer::Leaving)) => Some(SlotResponse::Unavailable),
             Ok(Some(SlotAnswer::NotOwner) | None) => None,
             Err(_) => {
                 log::debug!(target: PART, "Owner {owner} does not answer.");
--- a/crates/router/src/place.rs
+++ b/crates/router/src/place.rs
@@ -176,7 +176,7 @@
         let busy = self.state.owners.busy_on(self.engines);
         match has_local_capacity(&self.options, index, &busy, self.load_multiple) {
             true => SlotResponse::Estimated { load: busy[index] },
-            false => SlotResponse::Absent,
+            false => SlotResponse::Unavailable,
         }
     }
 
@@ -220,7 +220,7 @@
             SlotResponse::AtBound { load } => ("at its bound", Some(load)),
             SlotResponse::OverShare { load } => ("over the organisation's share", Some(load)),
             SlotResponse::Estimated { load } => ("no owner, room by own requests", Some(load)),
-            SlotResponse::Absent => ("no owner", None),
+            SlotResponse::Unavailable => ("no owner", None),
         };
         let role = match self.home {
             Home::Hinted(home) if home == index => CandidateRole::Hint,
