--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,36 +1,35 @@
-//! Where one request goes: event in, step out.
+//! The search for a request's engine, as a state machine without I/O.
 //!
-//! The chat's home is asked first. If its owner refuses, or the chat is new, a
-//! few others are asked at once, and the least loaded that grants wins; the
-//! rest is given back. A home at its bound is asked once more, and its owner
-//! may hold that ask: a slot often frees up sooner than the prefix is computed
-//! again. The first ask is never held, so that a dead owner is found out at
-//! once.
+//! The search requests a slot at the chat's home first. If that fails, or the
+//! chat is new, it requests slots at several alternatives at once and takes the
+//! least loaded that grants one. At a home at its bound it retries once with a
+//! wait, since a slot often frees up sooner than another engine recomputes the
+//! prefix. The first request never waits, so that a dead owner is detected at once.
 
 use crate::rendezvous::{KeyHash, MemberHash, min_unit_for_score, unit_hash, unit_score};
 
-/// An engine that a request may go to.
+/// An engine to which a request may be dispatched.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineCandidate {
     /// The hash of its name.
     pub hash: MemberHash,
-    /// Its size against others.
+    /// Its weight within the pool.
     pub weight: f64,
 }
 
-/// How placements are searched in a pool.
+/// The parameters of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementRules {
-    /// Others asked at once when the home refuses.
+    /// Alternatives tried at once per round.
     pub alternatives: usize,
-    /// Rounds of others, before a pause.
+    /// Rounds of alternatives before a pause.
     pub rounds: usize,
-    /// How long the home's owner may hold an ask until a slot frees up. Worth
-    /// no more than the prefill that a warm engine saves.
+    /// Longest wait for a slot at the home. It should not exceed the prefill time
+    /// that the cached prefix saves.
     pub home_wait_ms: u64,
-    /// Pause after all rounds were refused.
+    /// Pause after all rounds failed.
     pub retry_pause_ms: u64,
-    /// Pauses at most; then the request is refused.
+    /// Pauses before the request is refused.
     pub max_retry_pauses: usize,
 }
 
@@ -46,22 +45,22 @@
     }
 }
 
-/// Where a chat's prefix is, before the search.
+/// Where a chat's prefix is expected to be cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Home {
-    /// The caller's hint names this engine.
+    /// On the engine with this index, named in the caller's hint.
     Hinted(usize),
-    /// The chat returns without a hint: its first rank is the best guess.
+    /// On the chat's top-ranked engine: the chat continues without a hint.
     FirstRank,
-    /// The chat is new. Its prefix is nowhere, so it may go to the least
-    /// loaded of a few: this is what keeps the homes balanced.
+    /// On no engine: the chat is new. Placing it on the least loaded of several
+    /// engines balances the homes.
     Uncached,
 }
 
-/// What an owner answered.
+/// The response to a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotResponse {
-    /// It grants a slot; the load includes it.
+    /// The owner grants a slot; the load includes it.
     Granted {
         /// Requests on the engine.
         load: u32,
@@ -71,23 +70,23 @@
         /// Requests on the engine.
         load: u32,
     },
-    /// The engine is nearly full, and the organisation has its share.
+    /// The engine is nearly full, and the organisation exceeds its share.
     OverShare {
         /// Requests on the engine.
         load: u32,
     },
-    /// No owner answers, but by this router's own requests the engine has
-    /// room: it may be used without a slot.
+    /// No owner responds, but the router's own requests leave capacity: the
+    /// engine may be used without a slot.
     Estimated {
-        /// Requests on the engine, by this router's own.
+        /// Requests of this router on the engine.
         load: u32,
     },
-    /// No owner answers, and the engine may not be used.
+    /// No owner responds or the engine is leaving; it may not be used.
     Unavailable,
 }
 
 impl SlotResponse {
-    /// The engine's load before the ask, if its owner answered.
+    /// The engine's load before the request, if its owner responded.
     pub fn load_before(self) -> Option<u32> {
         match self {
             SlotResponse::Granted { load } => Some(load - 1),
@@ -97,58 +96,59 @@
     }
 }
 
-/// What to do next. Engines are named by their index in the candidates.
+/// The next step of a search. Engines are given by their index in the candidates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlacementStep {
-    /// Ask the owners of these, then call [`Placement::record_response`] for each.
+    /// Request a slot at each engine and pass each response to
+    /// [`Placement::record_response`].
     RequestSlots {
         /// The engines.
         engines: Vec<usize>,
-        /// How long an owner may hold the ask until a slot frees up.
+        /// How long an owner may wait for a slot to free up.
         wait_ms: u64,
     },
-    /// Send the request here, and give the other slots back.
+    /// Dispatch the request and return surplus slots.
     Dispatch {
-        /// The engine.
+        /// The engine to dispatch to.
         to: usize,
-        /// Whether a slot is held there.
+        /// Whether a slot was granted there.
         with_slot: bool,
-        /// Engines whose slots are given back.
+        /// Engines whose granted slots are to be returned.
         surplus: Vec<usize>,
     },
-    /// Call [`Placement::resume`] after this time.
+    /// Call [`Placement::resume`] after a pause.
     Pause {
-        /// How long.
+        /// Length of the pause.
         pause_ms: u64,
     },
-    /// Every engine that was asked is at its bound.
+    /// Refuse the request: every engine tried is at its bound.
     RefuseAtBound,
-    /// The organisation has its share of the engines asked, which are nearly
-    /// full. It is told at once: others wait for what it gives back.
+    /// Refuse the request at once: the engines tried are nearly full, and the
+    /// organisation exceeds its share.
     RefuseOverShare,
-    /// No owner answered: fall back to the estimate.
+    /// No owner responded: use [`choose_locally`].
     NoOwner,
-    /// Other answers are still to come.
+    /// Wait for the remaining responses.
     AwaitResponses,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Home,
-    /// The home is at its bound, and its owner holds the ask for a while.
-    HomeHeld,
-    Others {
+    /// The home is at its bound, and its owner waits for a free slot.
+    HomeWaiting,
+    Alternatives {
         round: usize,
     },
 }
 
-/// The search for one request's engine.
+/// The search for a request's engine.
 ///
 /// # Example
 ///
 /// ```
 /// use chalkrock_core::rendezvous::{KeyHash, MemberHash};
-/// use chalkrock_core::{SlotResponse, Home, EngineCandidate, Placement, PlacementRules, PlacementStep};
+/// use chalkrock_core::{EngineCandidate, Home, Placement, PlacementRules, PlacementStep, SlotResponse};
 ///
 /// let candidates = ["a", "b"].map(|n| EngineCandidate { hash: MemberHash::of(n), weight: 1.0 });
 /// let chat = KeyHash::of(b"chat");
@@ -163,45 +163,44 @@
     key: KeyHash,
     home: Home,
     phase: Phase,
-    waiting: usize,
+    pending: usize,
     granted: Vec<(usize, u32)>,
     estimated: Vec<(usize, u32)>,
-    asked: Vec<usize>,
-    ranks: Vec<usize>,
-    any_answer: bool,
+    requested: Vec<usize>,
+    ranking: Vec<usize>,
+    any_response: bool,
     over_share: bool,
-    /// The home's owner has held an ask; once is enough.
-    was_held: bool,
+    has_waited: bool,
     pauses: usize,
 }
 
 impl Placement {
-    /// A search for the chat `key`.
+    /// Creates a search for the chat with the hash `key`.
     pub fn new(rules: PlacementRules, key: KeyHash, home: Home) -> Self {
         Self {
             rules,
             key,
             home,
             phase: Phase::Home,
-            waiting: 0,
+            pending: 0,
             granted: Vec::new(),
             estimated: Vec::new(),
-            asked: Vec::new(),
-            ranks: Vec::new(),
-            any_answer: false,
+            requested: Vec::new(),
+            ranking: Vec::new(),
+            any_response: false,
             over_share: false,
-            was_held: false,
+            has_waited: false,
             pauses: 0,
         }
     }
 
-    /// Begins the search.
+    /// Starts the search.
     pub fn start(&mut self, candidates: &[EngineCandidate]) -> PlacementStep {
         let home = match self.home {
             Home::Hinted(home) => Some(home).filter(|home| *home < candidates.len()),
             Home::FirstRank => {
-                self.rank(candidates);
-                self.ranks.first().copied()
+                self.compute_ranking(candidates);
+                self.ranking.first().copied()
             }
             Home::Uncached => None,
         };
@@ -210,74 +209,74 @@
                 self.phase = Phase::Home;
                 self.request(vec![home], 0)
             }
-            None => self.ask_others(candidates, 0),
+            None => self.try_alternatives(candidates, 0),
         }
     }
 
-    /// Takes an owner's answer.
+    /// Processes the response to a slot request.
     pub fn record_response(
         &mut self,
         candidates: &[EngineCandidate],
         engine: usize,
-        answer: SlotResponse,
+        response: SlotResponse,
     ) -> PlacementStep {
-        self.waiting = self.waiting.saturating_sub(1);
-        match answer {
+        self.pending = self.pending.saturating_sub(1);
+        match response {
             SlotResponse::Granted { load } => {
-                self.any_answer = true;
+                self.any_response = true;
                 self.granted.push((engine, load));
             }
-            SlotResponse::AtBound { .. } => self.any_answer = true,
+            SlotResponse::AtBound { .. } => self.any_response = true,
             SlotResponse::OverShare { .. } => {
-                self.any_answer = true;
+                self.any_response = true;
                 self.over_share = true;
             }
             SlotResponse::Estimated { load } => {
-                self.any_answer = true;
+                self.any_response = true;
                 self.estimated.push((engine, load));
             }
             SlotResponse::Unavailable => {}
         }
-        if self.waiting > 0 {
+        if self.pending > 0 {
             return PlacementStep::AwaitResponses;
         }
         if let Some(step) = self.dispatch(candidates) {
             return step;
         }
-        self.refused(candidates, engine, answer)
+        self.handle_refusal(candidates, engine, response)
     }
 
-    /// Goes on after a pause: from the start.
+    /// Restarts the search after a pause.
     pub fn resume(&mut self, candidates: &[EngineCandidate]) -> PlacementStep {
-        self.asked.clear();
+        self.requested.clear();
         self.start(candidates)
     }
 
-    /// Whether the engines asked now were picked by the chat's hash alone, and
-    /// their loads are a fair sample of the pool's.
+    /// Whether the current requests go to alternatives, whose loads are an
+    /// unbiased sample of the pool.
     pub fn requests_alternatives(&self) -> bool {
-        matches!(self.phase, Phase::Others { .. })
+        matches!(self.phase, Phase::Alternatives { .. })
     }
 
     fn request(&mut self, engines: Vec<usize>, wait_ms: u64) -> PlacementStep {
-        self.waiting = engines.len();
-        self.asked.extend(&engines);
+        self.pending = engines.len();
+        self.requested.extend(&engines);
         PlacementStep::RequestSlots { engines, wait_ms }
     }
 
-    /// The least loaded engine that granted, by its weight; without any, the
-    /// least loaded by this router's own requests.
+    /// Picks the engine with the least load per weight: of those that granted a
+    /// slot, or else of the estimated ones.
     fn dispatch(&mut self, candidates: &[EngineCandidate]) -> Option<PlacementStep> {
-        let relative =
+        let load_per_weight =
             |(engine, load): &(usize, u32)| f64::from(*load) / candidates[*engine].weight;
-        let least = |found: &[(usize, u32)]| {
-            let least = found
+        let least_loaded = |loads: &[(usize, u32)]| {
+            let least = loads
                 .iter()
-                .min_by(|a, b| relative(a).total_cmp(&relative(b)));
+                .min_by(|a, b| load_per_weight(a).total_cmp(&load_per_weight(b)));
             least.map(|(engine, _)| *engine)
         };
-        let Some(to) = least(&self.granted) else {
-            let to = least(&self.estimated)?;
+        let Some(to) = least_loaded(&self.granted) else {
+            let to = least_loaded(&self.estimated)?;
             return Some(PlacementStep::Dispatch {
                 to,
                 with_slot: false,
@@ -293,41 +292,41 @@
         })
     }
 
-    fn refused(
+    fn handle_refusal(
         &mut self,
         candidates: &[EngineCandidate],
         engine: usize,
-        last: SlotResponse,
+        response: SlotResponse,
     ) -> PlacementStep {
-        let is_at_bound = matches!(last, SlotResponse::AtBound { .. });
+        let is_at_bound = matches!(response, SlotResponse::AtBound { .. });
         match self.phase {
-            Phase::Home if is_at_bound && self.rules.home_wait_ms > 0 && !self.was_held => {
-                self.phase = Phase::HomeHeld;
-                self.was_held = true;
+            Phase::Home if is_at_bound && self.rules.home_wait_ms > 0 && !self.has_waited => {
+                self.phase = Phase::HomeWaiting;
+                self.has_waited = true;
                 self.request(vec![engine], self.rules.home_wait_ms)
             }
-            Phase::Home | Phase::HomeHeld => self.ask_others(candidates, 0),
-            Phase::Others { round } => self.ask_others(candidates, round + 1),
+            Phase::Home | Phase::HomeWaiting => self.try_alternatives(candidates, 0),
+            Phase::Alternatives { round } => self.try_alternatives(candidates, round + 1),
         }
     }
 
-    /// Asks a round of others, or ends the search if there is none left.
-    fn ask_others(&mut self, candidates: &[EngineCandidate], round: usize) -> PlacementStep {
-        // An organisation that has its share of the home and of three others
-        // has it of the pool: asking on would cost traffic when it is dearest.
+    /// Starts a round of alternatives, or ends the search if none is left.
+    fn try_alternatives(&mut self, candidates: &[EngineCandidate], round: usize) -> PlacementStep {
+        // Over its share of several engines, the organisation is over its share of
+        // the pool; more requests would only add load.
         let rounds = if self.over_share {
             1
         } else {
             self.rules.rounds
         };
         if round < rounds {
-            self.phase = Phase::Others { round };
-            let others = self.next_others(candidates);
-            if !others.is_empty() {
-                return self.request(others, 0);
+            self.phase = Phase::Alternatives { round };
+            let alternatives = self.next_alternatives(candidates);
+            if !alternatives.is_empty() {
+                return self.request(alternatives, 0);
             }
         }
-        if !self.any_answer {
+        if !self.any_response {
             return PlacementStep::NoOwner;
         }
         if self.over_share {
@@ -342,104 +341,108 @@
         PlacementStep::RefuseAtBound
     }
 
-    /// The next ranks of the chat among engines not asked yet. Ranks spread
-    /// as well as random picks and bring a chat back to where it once was.
-    fn next_others(&mut self, candidates: &[EngineCandidate]) -> Vec<usize> {
-        self.rank(candidates);
-        let not_asked = self
-            .ranks
+    /// Returns the best ranked engines not tried yet. Unlike random picks, ranks
+    /// lead a chat back to engines that may cache its prefix.
+    fn next_alternatives(&mut self, candidates: &[EngineCandidate]) -> Vec<usize> {
+        self.compute_ranking(candidates);
+        let not_requested = self
+            .ranking
             .iter()
-            .filter(|engine| !self.asked.contains(engine));
-        not_asked.take(self.rules.alternatives).copied().collect()
+            .filter(|engine| !self.requested.contains(engine));
+        not_requested
+            .take(self.rules.alternatives)
+            .copied()
+            .collect()
     }
 
-    /// Ranks the engines, once, as far as the search may go.
-    fn rank(&mut self, candidates: &[EngineCandidate]) {
-        if self.ranks.is_empty() {
-            let most = 1 + self.rules.alternatives * self.rules.rounds;
-            self.ranks = best_ranks(self.key, candidates, most);
+    /// Computes the ranking once, to the depth that the search may reach.
+    fn compute_ranking(&mut self, candidates: &[EngineCandidate]) {
+        if self.ranking.is_empty() {
+            let max_ranks = 1 + self.rules.alternatives * self.rules.rounds;
+            self.ranking = top_ranks(self.key, candidates, max_ranks);
         }
     }
 }
 
-/// Whether an engine whose owner does not answer has room, by one router's own
-/// requests: the router keeps its own share under the multiple of its own
-/// mean, so that the sum of all routers' shares stays under it too. A router
-/// with less than a request on each engine can tell nothing, and leaves the
-/// engine alone: in a large fleet that is one engine in hundreds.
+/// Whether an engine whose owner does not respond has capacity, by one router's
+/// own requests.
+///
+/// Routers that each stay under the multiple of their own mean also stay under it
+/// in total. Returns `false` with too few requests to judge by.
 pub fn has_local_capacity(
     candidates: &[EngineCandidate],
     engine: usize,
-    own_loads: &[u32],
+    local_loads: &[u32],
     load_multiple: f64,
 ) -> bool {
-    let total: u32 = own_loads.iter().sum();
+    let total: u32 = local_loads.iter().sum();
     let weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
-    let own_mean = f64::from(total) / weight;
-    let limit = (load_multiple * own_mean * candidates[engine].weight).floor();
-    f64::from(own_loads[engine] + 1) <= limit
+    let local_mean = f64::from(total) / weight;
+    let limit = (load_multiple * local_mean * candidates[engine].weight).floor();
+    f64::from(local_loads[engine] + 1) <= limit
 }
 
-/// Chooses without any owner, by one router's own requests alone: the home
-/// while it stays under the multiple of this router's mean, else the engine
-/// with the fewest. Routers that each keep their own share balanced keep the
-/// sum balanced, up to one request for each router.
+/// Chooses an engine without any owner, by one router's own requests.
+///
+/// Returns the home while it stays under the multiple of the router's mean, else
+/// the least loaded engine. Routers that each balance their own requests keep
+/// the total balanced to within one request per router.
 pub fn choose_locally(
     candidates: &[EngineCandidate],
     home: Home,
     key: KeyHash,
-    own_loads: &[u32],
+    local_loads: &[u32],
     load_multiple: f64,
 ) -> Option<usize> {
-    let total: u32 = own_loads.iter().sum();
+    let total: u32 = local_loads.iter().sum();
     let weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     let mean = f64::from(total + 1) / weight;
-    let is_under = |index: &usize| {
+    let is_within_limit = |index: &usize| {
         let limit = (load_multiple * mean * candidates[*index].weight).ceil();
-        f64::from(own_loads[*index] + 1) <= limit
+        f64::from(local_loads[*index] + 1) <= limit
     };
     let home = match home {
         Home::Hinted(index) => Some(index),
-        Home::FirstRank => best_ranks(key, candidates, 1).first().copied(),
+        Home::FirstRank => top_ranks(key, candidates, 1).first().copied(),
         Home::Uncached => None,
     };
-    let relative = |index: usize| f64::from(own_loads[index]) / candidates[index].weight;
-    let least = (0..candidates.len()).min_by(|a, b| relative(*a).total_cmp(&relative(*b)));
-    home.filter(is_under).or(least)
+    let load_per_weight = |index: usize| f64::from(local_loads[index]) / candidates[index].weight;
+    let least_loaded =
+        (0..candidates.len()).min_by(|a, b| load_per_weight(*a).total_cmp(&load_per_weight(*b)));
+    home.filter(is_within_limit).or(least_loaded)
 }
 
-/// The first `most` ranks of a chat, best first, in one pass.
+/// Returns the `max_ranks` best ranked candidates, best first, in one pass.
 ///
-/// Most members do not make it, and a comparison of their unit tells so: the
-/// logarithm of the score is taken for the few that may. At 690 engines this
-/// takes 6 µs in place of 13 (benches/placement.rs).
-fn best_ranks(key: KeyHash, candidates: &[EngineCandidate], most: usize) -> Vec<usize> {
-    let mut best: Vec<(f64, usize)> = Vec::with_capacity(most + 1);
-    let mut pass = Pass {
+/// Most candidates are rejected by their unit hash, without the logarithm of the
+/// score.
+fn top_ranks(key: KeyHash, candidates: &[EngineCandidate], max_ranks: usize) -> Vec<usize> {
+    let mut best: Vec<(f64, usize)> = Vec::with_capacity(max_ranks + 1);
+    let mut threshold = Threshold {
         weight: 0.0,
-        unit: 0.0,
+        min_unit: 0.0,
     };
     for (i, candidate) in candidates.iter().enumerate() {
         let unit = unit_hash(key, candidate.hash);
-        if candidate.weight == pass.weight && unit < pass.unit {
+        if candidate.weight == threshold.weight && unit < threshold.min_unit {
             continue;
         }
         let s = unit_score(unit, candidate.weight);
         let at = best.partition_point(|(better, _)| *better >= s);
         best.insert(at, (s, i));
-        best.truncate(most);
-        if let Some((worst, _)) = best.last().filter(|_| best.len() == most) {
-            pass = Pass {
+        best.truncate(max_ranks);
+        if let Some((worst, _)) = best.last().filter(|_| best.len() == max_ranks) {
+            threshold = Threshold {
                 weight: candidate.weight,
-                unit: min_unit_for_score(*worst, candidate.weight),
+                min_unit: min_unit_for_score(*worst, candidate.weight),
             };
         }
     }
     best.into_iter().map(|(_, i)| i).collect()
 }
 
-/// What the unit of a member of this weight must reach to be among the best.
-struct Pass {
+/// The smallest unit hash with which a member of this weight ranks among the best.
+struct Threshold {
     weight: f64,
-    unit: f64,
+    min_unit: f64,
 }
