--- a/crates/core/benches/placement.rs
+++ b/crates/core/benches/placement.rs
@@ -1,4 +1,4 @@
-//! The time of one decision: the search of a router, and an owner's answer.
+//! Benchmarks of a router's search and an owner's slot decision.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
@@ -8,7 +8,7 @@
     SlotHolder, SlotResponse, SlotRules,
 };
 
-/// Engines of a pool, up to the whole fleet in one pool.
+/// Engines per pool; the largest is a whole fleet in one pool.
 const ENGINES: [usize; 4] = [20, 80, 230, 690];
 
 fn candidates(count: usize) -> Vec<EngineCandidate> {
@@ -60,7 +60,7 @@
     group.finish();
 }
 
-fn owner_ask(c: &mut Criterion) {
+fn slot_request(c: &mut Criterion) {
     let mut group = c.benchmark_group("owner_ask");
     for hosts in [8u32, 32, 128, 370] {
         let names: Vec<u32> = (0..hosts).collect();
@@ -87,5 +87,5 @@
     group.finish();
 }
 
-criterion_group!(benches, hinted, new_chat, owner_ask);
+criterion_group!(benches, hinted, new_chat, slot_request);
 criterion_main!(benches);
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -1,8 +1,8 @@
-//! Digests of keys: only these are stored.
+//! Digests of callers' keys, which are stored in place of the keys.
 
 use sha2::{Digest, Sha256};
 
-/// The SHA-256 digest of a key, as 64 lower-case hexadecimal digits.
+/// Returns the SHA-256 digest of a key as 64 lower-case hexadecimal digits.
 ///
 /// # Example
 ///
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,14 @@
-//! Decisions of the chalkrock router fleet, free of I/O.
+//! The decision logic of the chalkrock router fleet, without I/O.
 //!
-//! Everything that chalkrock decides is decided here: which engine serves a
-//! chat, whether a slot is granted, what a caller is told. There are no
-//! sockets, no tasks and no clock: time is an argument, and the same input
-//! gives the same output. Use this crate alone to drive the decisions from a
-//! simulator or another harness; use the router and the agent to serve.
+//! Decides which engine serves a chat, whether a slot is granted, and which
+//! outcome a caller receives. The logic is deterministic: it has no sockets,
+//! tasks or clock, and time is an argument. Simulators can drive it directly;
+//! the router and the agent serve requests with it.
 //!
 //! # Example
 //!
-//! A chat's home among three engines stays the same when a fourth joins,
-//! unless the fourth wins it:
+//! When a fourth engine joins, a chat keeps its home unless the new engine
+//! ranks first:
 //!
 //! ```
 //! use chalkrock_core::rendezvous::{top_ranked, KeyHash, MemberHash};
--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -1,16 +1,14 @@
-//! What one host grants: the ledgers of the engines it owns, and its say on
-//! the mean.
+//! The slots that one host grants on the engines that it owns.
 //!
-//! Rendezvous hashing over the live hosts names each engine's owner, so two
-//! hosts with different views may both believe that they own an engine. Three
-//! rules keep the bound all the same:
+//! Rendezvous hashing over the live hosts selects each engine's owner, so hosts
+//! with different views may own the same engine. Three rules keep the bound:
 //!
-//! - A new owner settles first: it grants nothing until the slowest view has
-//!   changed too and every router has told it what it holds there.
-//! - A host that sees less than half of the hosts of the last minute grants
-//!   nothing: the others may have given its engines to someone else.
-//! - A host that sees just half of them shares: it reckons with another owner
-//!   that grants as much as itself.
+//! - A new owner grants nothing until all views have changed and all routers
+//!   have reported the slots that they hold.
+//! - A host that sees less than half of the recent hosts grants nothing, since
+//!   the others may have assigned its engines to another owner.
+//! - A host that sees exactly half of them assumes another owner that grants as
+//!   much as itself.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
@@ -19,52 +17,51 @@
 use crate::rendezvous::{KeyHash, MemberHash, top_ranked};
 use crate::slots::{EngineSlots, SlotDecision, SlotHolder, SlotRequestContext, SlotRules, Weights};
 
-/// Hosts seen in this time count when a host asks whether it sees enough.
-const RECENT_MS: u64 = 60_000;
-/// Smaller fleets go by the table alone: it is fresh there, and a sample of few
-/// engines is noisy (81 grants over the bound of 9,500 with it, 10 without).
-const SAMPLED_FROM_HOSTS: usize = 16;
-/// A sampled mean counts for a little less than it says: it is noisy, and only
-/// a rise that the table does not show yet should pass it.
-const SAMPLED_MARGIN: f64 = 0.95;
-/// An engine that was away this long counts as new.
-const KNOWN_MS: u64 = 600_000;
-/// A ledger outlives its engine in the view this long: engines flap.
-const LEDGER_KEPT_MS: u64 = 60_000;
+/// Hosts in the view within this time count as recent.
+const RECENT_HOST_WINDOW_MS: u64 = 60_000;
+/// Smaller fleets use the load table alone: it is current there, and a mean
+/// sampled from few engines is noisy.
+const MIN_HOSTS_FOR_SAMPLING: usize = 16;
+/// Factor on the sampled mean, so that noise alone rarely exceeds the table's mean.
+const SAMPLED_MEAN_FACTOR: f64 = 0.95;
+/// An engine out of the view for this long counts as new.
+const ENGINE_RETENTION_MS: u64 = 600_000;
+/// How long a ledger is kept after its engine leaves the view; engines flap.
+const LEDGER_RETENTION_MS: u64 = 60_000;
 
-/// The index of the host that owns an engine, `None` if there are no hosts.
+/// Returns the index of the host that owns an engine, or `None` without hosts.
 pub fn owner_index(engine: MemberHash, hosts: &[MemberHash]) -> Option<usize> {
     top_ranked(KeyHash(engine.0), hosts.iter().map(|host| (*host, 1.0)))
 }
 
-/// An engine of the view, as its owner needs it.
+/// An engine that the local host owns.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OwnedEngine<E> {
     /// The engine.
     pub engine: E,
-    /// Its size against others.
+    /// Its weight within the pool.
     pub weight: f64,
 }
 
-/// How much a host may grant, by how many of the recent hosts it sees.
+/// A host's authority to grant, by the fraction of recent hosts that it sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Authority {
-    /// It sees most hosts.
+    /// It sees more than half of them.
     Full,
-    /// It sees just half of them.
+    /// It sees exactly half of them.
     Shared,
-    /// It sees fewer.
+    /// It sees less than half of them.
     None,
 }
 
 #[derive(Clone, Debug)]
 struct Ledger<H> {
     slots: EngineSlots<H>,
-    /// The engine is in the view, and this host owns it.
+    /// The engine is in the view and owned by this host.
     owned: bool,
-    /// The engine was owned and left the view; it may come back.
-    flapped: bool,
-    in_view_at_ms: u64,
+    /// This host owned the engine in an earlier view.
+    was_owned: bool,
+    last_in_view_ms: u64,
 }
 
 impl<H: Eq + Hash> Ledger<H> {
@@ -72,13 +69,13 @@
         Self {
             slots: EngineSlots::new(1.0, now_ms),
             owned: false,
-            flapped: false,
-            in_view_at_ms: now_ms,
+            was_owned: false,
+            last_in_view_ms: now_ms,
         }
     }
 }
 
-/// The granting side of one host. `H` names hosts, `E` engines.
+/// The owner role of a host. `H` identifies hosts, `E` engines.
 ///
 /// # Example
 ///
@@ -102,110 +99,115 @@
     table: LoadTable<H>,
     sampled: LoadSampler,
     /// When each host was last in the view.
-    seen_at_ms: HashMap<H, u64>,
+    host_seen_at_ms: HashMap<H, u64>,
     /// The hosts of the view.
     hosts: Vec<H>,
-    /// Until then other hosts may hold slots that this one does not know of.
+    /// Until then, other owners may have granted slots unknown to this host.
     shared_until_ms: u64,
     /// When each engine was last in the view.
-    known: HashMap<E, u64>,
+    engine_seen_at_ms: HashMap<E, u64>,
 }
 
 impl<H: Clone + Eq + Hash + Ord, E: Clone + Eq + Hash> Owner<H, E> {
-    /// An owner without engines.
-    pub fn new(own: H, rules: SlotRules) -> Self {
+    /// Creates an owner without engines.
+    pub fn new(local_host: H, rules: SlotRules) -> Self {
         Self {
             rules,
             weights: Weights::default(),
             ledgers: HashMap::new(),
-            table: LoadTable::new(own),
+            table: LoadTable::new(local_host),
             sampled: LoadSampler::default(),
-            seen_at_ms: HashMap::new(),
+            host_seen_at_ms: HashMap::new(),
             hosts: Vec::new(),
             shared_until_ms: 0,
-            known: HashMap::new(),
+            engine_seen_at_ms: HashMap::new(),
         }
     }
 
-    /// Shares engines by these weights from now on.
+    /// Sets the weights of organisations.
     pub fn set_weights(&mut self, weights: Weights) {
         self.weights = weights;
     }
 
-    /// Grants by other rules from now on.
+    /// Sets the rules for grants.
     pub fn set_rules(&mut self, rules: SlotRules) {
         self.rules = rules;
     }
 
-    /// Takes a new view over: the live hosts, the engines that this host owns
-    /// among them, and those that others own, whose ledgers end here.
+    /// Applies a view: the live hosts, the engines that this host owns, and the
+    /// engines of other owners, whose ledgers are dropped.
     pub fn apply_view(&mut self, hosts: &[H], owned: &[OwnedEngine<E>], others: &[E], now_ms: u64) {
         if !self.hosts.is_empty() && self.authority_by_view(now_ms) != Authority::Full {
             self.shared_until_ms = now_ms + self.rules.settle_ms + self.rules.report_lag_max_ms;
         }
-        let before = self.take_hosts(hosts, now_ms);
-        let same_hosts = !before.is_empty() && before == hosts;
+        let previous = self.apply_hosts(hosts, now_ms);
+        let same_hosts = !previous.is_empty() && previous == hosts;
         for engine in others {
             self.ledgers.remove(engine);
-            self.known.insert(engine.clone(), now_ms);
+            self.engine_seen_at_ms.insert(engine.clone(), now_ms);
         }
         let owned_before = self.release_all();
-        for one in owned {
-            let is_new = self.known.insert(one.engine.clone(), now_ms).is_none();
+        for owned_engine in owned {
+            let is_new = self
+                .engine_seen_at_ms
+                .insert(owned_engine.engine.clone(), now_ms)
+                .is_none();
             let ledgers = &mut self.ledgers;
             let ledger = ledgers
-                .entry(one.engine.clone())
+                .entry(owned_engine.engine.clone())
                 .or_insert_with(|| Ledger::new(now_ms));
             ledger.owned = true;
-            ledger.in_view_at_ms = now_ms;
-            if !owned_before.contains(&one.engine) {
-                ledger.slots.begin(one.weight, now_ms);
-                // An engine that no host has seen before is idle, and with
-                // the same hosts all views agree on its owner.
+            ledger.last_in_view_ms = now_ms;
+            if !owned_before.contains(&owned_engine.engine) {
+                ledger.slots.begin_ownership(owned_engine.weight, now_ms);
+                // A new engine is idle, and with unchanged hosts all views agree
+                // on its owner.
                 if is_new && same_hosts {
                     ledger.slots.skip_settling();
                 }
             }
         }
-        self.known.retain(|_, at_ms| now_ms < *at_ms + KNOWN_MS);
-        self.ledgers
-            .retain(|_, ledger| ledger.owned || now_ms < ledger.in_view_at_ms + LEDGER_KEPT_MS);
+        self.engine_seen_at_ms
+            .retain(|_, at_ms| now_ms < *at_ms + ENGINE_RETENTION_MS);
+        self.ledgers.retain(|_, ledger| {
+            ledger.owned || now_ms < ledger.last_in_view_ms + LEDGER_RETENTION_MS
+        });
     }
 
-    /// Takes the hosts of a view over, and gives those of the one before.
-    fn take_hosts(&mut self, hosts: &[H], now_ms: u64) -> Vec<H> {
-        let before = std::mem::replace(&mut self.hosts, hosts.to_vec());
+    /// Applies the hosts of a view and returns those of the previous one.
+    fn apply_hosts(&mut self, hosts: &[H], now_ms: u64) -> Vec<H> {
+        let previous = std::mem::replace(&mut self.hosts, hosts.to_vec());
         self.table.retain_hosts(hosts);
-        // Hosts of the view before were seen until this moment.
-        for host in before.iter().chain(hosts) {
-            self.seen_at_ms.insert(host.clone(), now_ms);
+        // Hosts of the previous view were visible until now.
+        for host in previous.iter().chain(hosts) {
+            self.host_seen_at_ms.insert(host.clone(), now_ms);
         }
-        self.seen_at_ms
-            .retain(|_, at_ms| now_ms < *at_ms + RECENT_MS);
-        before
+        self.host_seen_at_ms
+            .retain(|_, at_ms| now_ms < *at_ms + RECENT_HOST_WINDOW_MS);
+        previous
     }
 
-    /// Marks all ledgers as not owned, and names those that were.
+    /// Marks all ledgers as not owned and returns the engines that were.
     fn release_all(&mut self) -> HashSet<E> {
         let mut owned = HashSet::new();
         for (engine, ledger) in &mut self.ledgers {
-            if std::mem::take(&mut ledger.owned) || ledger.flapped {
+            if std::mem::take(&mut ledger.owned) || ledger.was_owned {
                 owned.insert(engine.clone());
-                ledger.flapped = true;
+                ledger.was_owned = true;
             }
         }
         owned
     }
 
-    /// Lets all ledgers grant at once: the fleet starts with idle engines.
+    /// Allows all ledgers to grant at once, for a fleet that starts idle.
     pub fn skip_settling(&mut self) {
         for ledger in self.ledgers.values_mut() {
             ledger.slots.skip_settling();
         }
     }
 
-    /// How much this host may grant. After a time of sharing it goes on to
-    /// share until all routers must have told what they hold.
+    /// The host's authority to grant. Authority stays shared after a split until
+    /// all routers have reported the slots that they hold.
     pub fn authority(&self, now_ms: u64) -> Authority {
         match self.authority_by_view(now_ms) {
             Authority::Full if now_ms < self.shared_until_ms => Authority::Shared,
@@ -215,9 +217,9 @@
 
     fn authority_by_view(&self, now_ms: u64) -> Authority {
         let recent = self
-            .seen_at_ms
+            .host_seen_at_ms
             .values()
-            .filter(|at_ms| now_ms < **at_ms + RECENT_MS);
+            .filter(|at_ms| now_ms < **at_ms + RECENT_HOST_WINDOW_MS);
         let recent = recent.count().max(self.hosts.len());
         match (self.hosts.len() * 2).cmp(&recent) {
             std::cmp::Ordering::Greater => Authority::Full,
@@ -226,23 +228,23 @@
         }
     }
 
-    /// A router that asks tells the mean load that it sampled.
+    /// Records the mean load that a router sampled.
     pub fn record_sample(&mut self, mean_load: f64) {
         self.sampled.record(mean_load);
     }
 
-    /// The mean load by unit of weight that grants go by.
+    /// The mean load per unit of weight from which limits are computed.
     fn mean(&mut self, now_ms: u64) -> f64 {
-        let by_table = self.table.mean(now_ms);
-        if self.hosts.len() < SAMPLED_FROM_HOSTS {
-            return by_table;
+        let table_mean = self.table.mean(now_ms);
+        if self.hosts.len() < MIN_HOSTS_FOR_SAMPLING {
+            return table_mean;
         }
-        let by_samples = self.sampled.mean().unwrap_or(0.0) * SAMPLED_MARGIN;
-        by_table.max(by_samples)
+        let sampled_mean = self.sampled.mean().unwrap_or(0.0) * SAMPLED_MEAN_FACTOR;
+        table_mean.max(sampled_mean)
     }
 
-    /// Asks for a slot; `None` if this host does not own the engine or may
-    /// not grant.
+    /// Requests a slot; `None` if this host does not own the engine or lacks the
+    /// authority to grant.
     pub fn request_slot(
         &mut self,
         engine: &E,
@@ -253,7 +255,7 @@
         if authority == Authority::None {
             return None;
         }
-        self.say_own(now_ms);
+        self.update_local_load(now_ms);
         let mean = self.mean(now_ms);
         let ledger = self.ledgers.get_mut(engine).filter(|ledger| ledger.owned)?;
         let shared = authority == Authority::Shared;
@@ -266,15 +268,15 @@
         Some(ledger.slots.request_slot(holder, now_ms, context))
     }
 
-    /// Takes slots back.
+    /// Returns slots of a holder.
     pub fn return_slots(&mut self, engine: &E, holder: &SlotHolder<H>, count: u32, now_ms: u64) {
         if let Some(ledger) = self.ledgers.get_mut(engine) {
             ledger.slots.return_slots(holder, now_ms, count);
         }
     }
 
-    /// A router tells what it holds of an engine. Its view may be ahead of
-    /// this host's, which then keeps the count for when the engine is its own.
+    /// Replaces a holder's slots by the count that its router reports. The count is
+    /// kept even if this host does not own the engine yet: the router's view may be newer.
     pub fn adopt(&mut self, engine: &E, holder: SlotHolder<H>, count: u32, now_ms: u64) {
         let ledger = self
             .ledgers
@@ -283,21 +285,21 @@
         ledger.slots.adopt(holder, now_ms, count);
     }
 
-    /// A router is gone; its slots are free.
+    /// Releases all slots of a host that left.
     pub fn remove_host(&mut self, host: &H, now_ms: u64) {
         for ledger in self.ledgers.values_mut() {
             ledger.slots.remove_host(host, now_ms);
         }
     }
 
-    /// An engine reports its load.
+    /// Processes a load report of an engine.
     pub fn report(&mut self, engine: &E, in_progress: u32, now_ms: u64) {
         if let Some(ledger) = self.ledgers.get_mut(engine) {
             ledger.slots.report(now_ms, in_progress, &self.rules);
         }
     }
 
-    /// The load of an owned engine.
+    /// Returns the load of an owned engine.
     pub fn load(&self, engine: &E) -> Option<u32> {
         self.ledgers
             .get(engine)
@@ -305,27 +307,27 @@
             .map(|ledger| ledger.slots.load())
     }
 
-    /// The totals of hosts, this one's brought up to now.
+    /// Returns the load table with an updated local entry.
     pub fn table(&mut self, now_ms: u64) -> &mut LoadTable<H> {
-        self.say_own(now_ms);
+        self.update_local_load(now_ms);
         &mut self.table
     }
 
-    /// Sets the own entry of the table. While owners may differ, each counts
-    /// slots that were given back to the other one; the reports do not.
-    fn say_own(&mut self, now_ms: u64) {
+    /// Updates the local entry of the load table. With shared authority, slots may
+    /// be returned to the other owner, so that the report bounds the ledger's load.
+    fn update_local_load(&mut self, now_ms: u64) {
         let shared = self.authority(now_ms) == Authority::Shared;
-        let mut own = HostLoad {
+        let mut local_load = HostLoad {
             in_progress: 0,
             weight: 0.0,
         };
         for ledger in self.ledgers.values().filter(|ledger| ledger.owned) {
-            own.in_progress += match ledger.slots.reported() {
+            local_load.in_progress += match ledger.slots.reported() {
                 Some(reported) if shared => reported.min(ledger.slots.load()),
                 _ => ledger.slots.load(),
             };
-            own.weight += ledger.slots.weight();
+            local_load.weight += ledger.slots.weight();
         }
-        self.table.set_local(own, now_ms);
+        self.table.set_local(local_load, now_ms);
     }
 }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,62 +1,57 @@
-//! The slots of one engine, as its owner grants them.
+//! The slots of one engine, granted by its owner.
 //!
-//! The owner of an engine grants every slot there, so it knows the load at
-//! once, without the lag of reports. What it can't know is load that others
-//! granted: the owner before it, another owner in a split view, a router that
-//! had to go without. That shows in the engine's reports, which are late. We
-//! keep it as `foreign` load between two bounds that each report sets: the
-//! report less the most, and less the least, that we had granted in the time
-//! it may speak of. It is below zero when slots were never given back, since
-//! their router died or the message was lost. Trusting the report alone counts
-//! our own grants twice; trusting the ledger alone breaks the bound in a split
-//! view, and loses slots for good.
+//! The owner grants all slots of an engine and so knows its load without delay,
+//! except for load from other sources: a previous owner, another owner in a
+//! split view, or a router without an owner. That `foreign` load is estimated
+//! from the engine's delayed reports: each limits it to the reported load less
+//! the most, and less the least, that the owner had granted in the time the
+//! report may describe. It is negative if slots were not returned because a
+//! router crashed or a message was lost. Reports alone would count the owner's
+//! grants twice; the ledger alone would exceed the bound in a split view and
+//! leak slots.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Below this mean load the multiple is applied as if the mean were this:
-/// with one or two requests on an engine, whole requests are too coarse for
-/// a multiple, and a start from nothing would wait for the mean to rise.
+/// Smallest mean load, in requests per engine, from which limits are computed.
+/// Below it, whole requests are too coarse for a multiple, and an idle pool
+/// would grant only as fast as its mean rises.
 pub const MEAN_FLOOR: f64 = 4.0;
-/// Up to this share of an engine's capacity, whoever asks is granted. What is
-/// above is kept for organisations that are under their share, so that a surge
-/// of others does not delay them.
+/// Fraction of an engine's capacity that is granted to any organisation. The rest
+/// is reserved for organisations under their share, so that a surge of another
+/// does not delay them.
 pub const OPEN_LOAD_RATIO: f64 = 0.8;
-/// An organisation's share of an engine is never less. Ordinary chance puts two
-/// requests of a small organisation on one engine; holding it to one there
-/// delays it more than a surge of others does.
-const SHARE_MIN: f64 = 2.0;
-/// Foreign load moves towards none once in so many reports: about as fast as
-/// the requests that it stands for end. Faster, it is forgotten while it runs.
-const REPORTS_A_STEP: u32 = 4;
-/// A ledger sample is kept at most this often.
-const SAMPLE_EVERY_MS: u64 = 100;
-/// Samples kept: twice the oldest report.
-const SAMPLES_KEPT: usize = 200;
+/// Smallest share of an engine for an organisation. A small organisation often
+/// has two requests on one engine by chance; a share of one would delay it.
+const MIN_SHARE_SLOTS: f64 = 2.0;
+/// Reports per step by which the foreign load decays towards zero. A faster decay
+/// would drop foreign requests that still run.
+const REPORTS_PER_STEP: u32 = 4;
+/// Time that one sample of the granted slots covers.
+const SAMPLE_INTERVAL_MS: u64 = 100;
+/// Maximum number of samples; covers at least twice the longest report lag.
+const MAX_SAMPLES: usize = 200;
 
 /// How slots are granted in a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlotRules {
-    /// Grants stop at this multiple of the mean. It is below the promised
-    /// multiple, since the mean falls when requests end elsewhere.
+    /// Multiple of the mean load at which grants stop. Lower than the pool's load
+    /// multiple, since the mean falls as requests end elsewhere.
     pub grant_multiple: f64,
-    /// Reports are at least this old.
+    /// Shortest delay of an engine's reports.
     pub report_lag_min_ms: u64,
-    /// Reports are at most this old.
+    /// Longest delay of an engine's reports.
     pub report_lag_max_ms: u64,
-    /// A new owner grants nothing for this long, so that the reports it has
-    /// show all that the owner before it granted.
+    /// Time for which a new owner grants nothing, until reports show what the
+    /// previous owner granted.
     pub settle_ms: u64,
-    /// Requests that an engine can batch, by unit of its weight. More than
-    /// that are never granted.
+    /// Most requests on an engine, per unit of its weight.
     pub capacity: f64,
 }
 
 impl SlotRules {
-    /// Rules for a pool that promises `load_multiple`.
-    ///
-    /// The margin is three fortieths of what the multiple leaves above the mean; see
-    /// `docs/decisions/0003-slots.md` for the measurement.
+    /// Creates rules that keep loads under `load_multiple` times the pool's mean,
+    /// with a margin for changes of the mean.
     pub fn for_load_multiple(load_multiple: f64) -> Self {
         const MARGIN: f64 = 0.075;
         Self {
@@ -68,16 +63,16 @@
         }
     }
 
-    /// The load from which on organisations are held to their shares.
+    /// The load from which organisations are limited to their shares.
     fn open_load(&self, weight: f64) -> f64 {
         OPEN_LOAD_RATIO * self.capacity * weight
     }
 
-    /// The most requests that an engine of `weight` may carry.
+    /// The most requests on an engine of `weight`, at a mean load of `mean_load`
+    /// requests per unit of weight.
     ///
-    /// `mean_load` is the pool's load by unit of weight. Whatever the margin,
-    /// the limit lies above the mean: if all engines could stand at their
-    /// limit, the mean would never rise and the pool would refuse for ever.
+    /// The limit always exceeds the mean. Otherwise all engines could be at their
+    /// limits and the mean could never rise.
     pub fn limit(&self, mean_load: f64, weight: f64) -> u32 {
         let expected = (mean_load * weight).max(MEAN_FLOOR);
         let above_mean = expected.floor() + 1.0;
@@ -86,7 +81,7 @@
     }
 }
 
-/// Whose slots: a router's host and an organisation.
+/// The holder of slots: a router's host and an organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SlotHolder<H> {
     /// The router's host.
@@ -95,16 +90,16 @@
     pub organisation: OrganisationKey,
 }
 
-/// An organisation in ledgers: the low half of its name's hash.
+/// An organisation's key: the low half of its name's hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrganisationKey(pub u32);
 
-/// Weights of organisations; one that is not named weighs 1.
+/// Weights of organisations; 1 for those not listed.
 #[derive(Clone, Debug, Default)]
 pub struct Weights(HashMap<OrganisationKey, u32>);
 
 impl Weights {
-    /// Weights by organisation.
+    /// Creates weights by organisation.
     pub fn new(weights: HashMap<OrganisationKey, u32>) -> Self {
         Self(weights)
     }
@@ -114,10 +109,10 @@
     }
 }
 
-/// What an ask is judged by, beside the ledger.
+/// The inputs to a slot decision besides the ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotRequestContext<'a> {
-    /// The pool's mean load by unit of weight.
+    /// The pool's mean load per unit of weight.
     pub mean_load: f64,
     /// Whether another host may own the engine too.
     pub shared: bool,
@@ -127,45 +122,45 @@
     pub weights: &'a Weights,
 }
 
-/// The answer to an ask.
+/// The decision on a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// A slot is held; the load includes it.
+    /// A slot is granted; the load includes it.
     Granted {
         /// Requests on the engine.
         load: u32,
     },
-    /// One more would pass the limit.
+    /// Another request would exceed the limit.
     AtBound {
         /// Requests on the engine.
         load: u32,
     },
-    /// The engine is nearly full, and the organisation has its share of it.
+    /// The engine is nearly full, and the organisation exceeds its share.
     OverShare {
         /// Requests on the engine.
         load: u32,
     },
-    /// The ledger is too young to be right.
+    /// The owner is new and does not grant slots yet.
     Settling,
 }
 
-/// What was granted in one span.
+/// The range of granted slots in an interval.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     from_ms: u64,
-    least: u32,
-    most: u32,
+    min: u32,
+    max: u32,
     end: u32,
 }
 
-/// The newest report.
+/// A load report of an engine.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     at_ms: u64,
     in_progress: u32,
 }
 
-/// The ledger of one engine. `H` names hosts.
+/// The ledger of one engine's slots. `H` identifies hosts.
 ///
 /// # Example
 ///
@@ -187,7 +182,7 @@
 pub struct EngineSlots<H> {
     weight: f64,
     owned_since_ms: u64,
-    settled_at_once: bool,
+    skips_settling: bool,
     granted: u32,
     held: HashMap<SlotHolder<H>, u32>,
     by_organisation: HashMap<OrganisationKey, u32>,
@@ -198,12 +193,12 @@
 }
 
 impl<H: Eq + Hash> EngineSlots<H> {
-    /// A ledger that begins at `now_ms`, for an engine of `weight`.
+    /// Creates the ledger of an engine of `weight`, owned since `now_ms`.
     pub fn new(weight: f64, now_ms: u64) -> Self {
         Self {
             weight,
             owned_since_ms: now_ms,
-            settled_at_once: false,
+            skips_settling: false,
             granted: 0,
             held: HashMap::new(),
             by_organisation: HashMap::new(),
@@ -214,18 +209,17 @@
         }
     }
 
-    /// The host becomes the engine's owner now: it settles from here on.
-    pub(crate) fn begin(&mut self, weight: f64, now_ms: u64) {
+    /// Starts ownership of the engine, and with it the settling time.
+    pub(crate) fn begin_ownership(&mut self, weight: f64, now_ms: u64) {
         self.weight = weight;
         self.owned_since_ms = now_ms;
-        self.settled_at_once = false;
+        self.skips_settling = false;
     }
 
-    /// Asks for a slot.
+    /// Requests a slot.
     ///
-    /// With `shared`, another host may own the engine too: each of the two
-    /// then grants as if the other had granted as much as itself in the time
-    /// that no report shows yet, so that both together stay under the limit.
+    /// If `context.shared`, each of two owners assumes that the other granted as
+    /// much as itself since the last report, so that both stay under the limit.
     pub fn request_slot(
         &mut self,
         holder: SlotHolder<H>,
@@ -236,12 +230,12 @@
             return SlotDecision::Settling;
         }
         let load = self.load();
-        // The other owner may grant one more at this very moment.
-        let unseen = match context.shared {
-            true => self.unseen_by_reports(now_ms, context.rules) + 1,
+        // The other owner may grant another slot concurrently.
+        let unreported = match context.shared {
+            true => self.unreported_grants(now_ms, context.rules) + 1,
             false => 0,
         };
-        if load + unseen >= context.rules.limit(context.mean_load, self.weight) {
+        if load + unreported >= context.rules.limit(context.mean_load, self.weight) {
             return SlotDecision::AtBound { load };
         }
         if self.is_over_share(holder.organisation, load, context) {
@@ -250,18 +244,16 @@
         self.granted += 1;
         *self.by_organisation.entry(holder.organisation).or_insert(0) += 1;
         *self.held.entry(holder).or_insert(0) += 1;
-        self.sample(now_ms);
+        self.record_sample(now_ms);
         SlotDecision::Granted { load: load + 1 }
     }
 
-    /// Whether an engine that is nearly full holds as many requests of this
-    /// organisation as its weight among those present allows. What it holds
-    /// above its share was borrowed, and ends by itself.
+    /// Whether the engine is nearly full and the organisation holds at least its
+    /// share, by weight among the organisations present.
     ///
-    /// Chats are spread over engines by their hash, so that a share of each
-    /// engine is a share of the pool, and no host needs to know the whole.
-    /// Refusing only who crowds the engine most was tried: several that surge
-    /// then fill it in turns (first token of the others p99 1.33 s, not 1.14).
+    /// Hashing spreads chats evenly, so that a share of each engine is a share of
+    /// the pool. Limiting only the largest organisation would let several that
+    /// surge fill the engine in turn.
     fn is_over_share(
         &self,
         organisation: OrganisationKey,
@@ -271,24 +263,24 @@
         if f64::from(load) < context.rules.open_load(self.weight) {
             return false;
         }
-        let own_weight = context.weights.of(organisation);
+        let organisation_weight = context.weights.of(organisation);
         let others = || {
             self.by_organisation
                 .iter()
                 .filter(|(other, _)| **other != organisation)
         };
-        let weights_of_others = others().map(|(other, _)| context.weights.of(*other));
-        let all_weights = own_weight + weights_of_others.sum::<f64>();
-        let share = context.rules.capacity * self.weight * own_weight / all_weights;
+        let other_weights = others().map(|(other, _)| context.weights.of(*other));
+        let total_weight = organisation_weight + other_weights.sum::<f64>();
+        let share = context.rules.capacity * self.weight * organisation_weight / total_weight;
         let held = self
             .by_organisation
             .get(&organisation)
             .copied()
             .unwrap_or(0);
-        f64::from(held) >= share.max(SHARE_MIN)
+        f64::from(held) >= share.max(MIN_SHARE_SLOTS)
     }
 
-    /// Takes slots back. What the holder does not hold is ignored.
+    /// Returns slots; ignores more than the holder has.
     pub fn return_slots(&mut self, holder: &SlotHolder<H>, now_ms: u64, count: u32) {
         let Some(held) = self.held.get_mut(holder) else {
             return;
@@ -309,12 +301,11 @@
                 self.by_organisation.remove(&organisation);
             }
         }
-        self.sample(now_ms);
+        self.record_sample(now_ms);
     }
 
-    /// Takes over what a router says it holds: its own count is better than
-    /// ours. A report shows these requests already, so that they move from
-    /// the foreign load to the granted slots; without one they are news.
+    /// Replaces a holder's slots by the count that its router reports. If the engine
+    /// has reported, they are part of the foreign load and move to the granted slots.
     pub fn adopt(&mut self, holder: SlotHolder<H>, now_ms: u64, count: u32) {
         let organisation = holder.organisation;
         let held = self.held.remove(&holder).unwrap_or(0);
@@ -327,34 +318,32 @@
         if self.reported.is_some() {
             self.foreign -= i64::from(count) - i64::from(held);
         }
-        self.sample(now_ms);
+        self.record_sample(now_ms);
     }
 
-    /// Takes all slots of a router back that is gone. Its requests may still
-    /// run for a moment; the reports show them.
+    /// Releases all slots of a host that left. Reports still count its requests
+    /// while they run.
     pub fn remove_host(&mut self, host: &H, now_ms: u64) {
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .held
             .extract_if(|holder, _| holder.host == *host)
             .collect();
-        for (holder, held) in gone {
+        for (holder, held) in removed {
             self.release(holder.organisation, held, now_ms);
         }
     }
 
-    /// Takes a report of the engine that arrived at `now_ms`.
+    /// Processes a load report of the engine, received at `now_ms`.
     pub fn report(&mut self, now_ms: u64, in_progress: u32, rules: &SlotRules) {
         let from_ms = now_ms.saturating_sub(rules.report_lag_max_ms);
         let to_ms = now_ms.saturating_sub(rules.report_lag_min_ms);
-        let (least, most) = self.granted_between(from_ms, to_ms);
-        let low = i64::from(in_progress) - i64::from(most);
-        let high = i64::from(in_progress) - i64::from(least);
-        // Of all loads that fit the report, the one nearest to our own ledger
-        // is the likeliest; we go there by steps. Staying where an earlier
-        // report had put it counted ended requests for seconds, which raised
-        // the pool's mean and with it every limit.
+        let (min, max) = self.granted_between(from_ms, to_ms);
+        let low = i64::from(in_progress) - i64::from(max);
+        let high = i64::from(in_progress) - i64::from(min);
+        // Decays towards the ledger's own count, the likeliest load in range.
+        // Otherwise completed foreign requests raise the mean and every limit.
         self.reports += 1;
-        if self.reports.is_multiple_of(REPORTS_A_STEP) {
+        if self.reports.is_multiple_of(REPORTS_PER_STEP) {
             let step = (self.foreign.abs() / 4).max(1).min(self.foreign.abs());
             self.foreign -= self.foreign.signum() * step;
         }
@@ -365,22 +354,22 @@
         });
     }
 
-    /// Lets a ledger grant at once: its engine is known to be empty.
+    /// Allows grants at once; only valid if the engine is known to be idle.
     pub fn skip_settling(&mut self) {
-        self.settled_at_once = true;
+        self.skips_settling = true;
     }
 
-    /// Requests on the engine, as far as the owner can tell.
+    /// Estimated number of requests on the engine.
     pub fn load(&self) -> u32 {
         (i64::from(self.granted) + self.foreign).max(0) as u32
     }
 
-    /// Requests on the engine by its newest report.
+    /// Requests on the engine by its latest report.
     pub fn reported(&self) -> Option<u32> {
         self.reported.map(|report| report.in_progress)
     }
 
-    /// Slots that are held.
+    /// Number of granted slots.
     pub fn granted(&self) -> u32 {
         self.granted
     }
@@ -390,65 +379,65 @@
         self.weight
     }
 
-    /// Whether the ledger may grant.
+    /// Whether the settling time is over.
     pub fn is_settled(&self, now_ms: u64, rules: &SlotRules) -> bool {
-        self.settled_at_once || now_ms >= self.owned_since_ms + rules.settle_ms
+        self.skips_settling || now_ms >= self.owned_since_ms + rules.settle_ms
     }
 
-    /// What another owner may have granted that reports don't show yet.
-    fn unseen_by_reports(&self, now_ms: u64, rules: &SlotRules) -> u32 {
+    /// Upper estimate of another owner's grants that no report shows yet.
+    fn unreported_grants(&self, now_ms: u64, rules: &SlotRules) -> u32 {
         let reported_ms = self
             .reported
             .map_or(self.owned_since_ms, |report| report.at_ms);
         let from_ms = reported_ms.saturating_sub(rules.report_lag_max_ms);
-        let (least, _) = self.granted_between(from_ms, now_ms);
-        self.granted - least
+        let (min, _) = self.granted_between(from_ms, now_ms);
+        self.granted - min
     }
 
-    /// Notes the granted count, as the least and most of short spans.
-    fn sample(&mut self, now_ms: u64) {
+    /// Records the granted slots as the minimum and maximum per interval.
+    fn record_sample(&mut self, now_ms: u64) {
         let granted = self.granted;
         match self.samples.back_mut() {
-            Some(last) if now_ms < last.from_ms + SAMPLE_EVERY_MS => {
-                last.least = last.least.min(granted);
-                last.most = last.most.max(granted);
+            Some(last) if now_ms < last.from_ms + SAMPLE_INTERVAL_MS => {
+                last.min = last.min.min(granted);
+                last.max = last.max.max(granted);
                 last.end = granted;
             }
             before => {
                 let start = before.map_or(0, |last| last.end);
-                let (least, most) = (start.min(granted), start.max(granted));
+                let (min, max) = (start.min(granted), start.max(granted));
                 self.samples.push_back(Sample {
                     from_ms: now_ms,
-                    least,
-                    most,
+                    min,
+                    max,
                     end: granted,
                 });
             }
         }
-        if self.samples.len() > SAMPLES_KEPT {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
     }
 
-    /// The least and the most that was granted at any time of a span.
+    /// Returns the minimum and maximum of granted slots in a time range.
     fn granted_between(&self, from_ms: u64, to_ms: u64) -> (u32, u32) {
         let before = self
             .samples
             .iter()
             .rev()
             .find(|sample| sample.from_ms <= from_ms);
-        let (mut least, mut most) = match before {
-            Some(sample) if from_ms < sample.from_ms + SAMPLE_EVERY_MS => {
-                (sample.least, sample.most)
+        let (mut min, mut max) = match before {
+            Some(sample) if from_ms < sample.from_ms + SAMPLE_INTERVAL_MS => {
+                (sample.min, sample.max)
             }
             Some(sample) => (sample.end, sample.end),
             None => (0, 0),
         };
         let within = |sample: &&Sample| sample.from_ms > from_ms && sample.from_ms <= to_ms;
         for sample in self.samples.iter().filter(within) {
-            least = least.min(sample.least);
-            most = most.max(sample.most);
+            min = min.min(sample.min);
+            max = max.max(sample.max);
         }
-        (least, most)
+        (min, max)
     }
 }
--- a/crates/core/tests/load_table.rs
+++ b/crates/core/tests/load_table.rs
@@ -1,4 +1,4 @@
-//! Totals of hosts: merged by age, weighed by age, forgotten with the host.
+//! Load table: merging, discounting and expiry of entries.
 
 use chalkrock_core::{HostLoad, LoadEntry, LoadTable};
 use googletest::prelude::*;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn merge_keeps_the_younger_entry() {
+fn merge_keeps_the_newer_entry() {
     let mut table = table_of(&[0, 1]);
     table.merge(&[entry(1, 8, 100)], 1_000);
     table.merge(&[entry(1, 2, 900)], 1_000);
@@ -33,17 +33,16 @@
 }
 
 #[test]
-fn merge_leaves_out_hosts_that_are_not_in_the_view() {
+fn merge_ignores_hosts_outside_the_view() {
     let mut table = table_of(&[0, 1]);
     table.merge(&[entry(2, 8, 0)], 1_000);
     assert_that!(table.freshest(1_000, 5), is_empty());
 }
 
-/// A limit is a multiple of the mean. If old entries lowered the mean below the
-/// loads themselves, engines would stand over their limits, refuse, and lower
-/// it further: an exchange that stops would stop the pool.
+/// Guards against a stalled exchange that lowers the mean, and so the limits,
+/// below current loads until the pool rejects all requests.
 #[test]
-fn mean_of_old_entries_falls_by_little() {
+fn mean_discounts_old_entries_slightly() {
     let mut table = table_of(&[0, 1, 2]);
     table.set_local(load(8), 14_000);
     table.merge(&[entry(1, 8, 14_000), entry(2, 8, 14_000)], 14_000);
@@ -52,7 +51,7 @@
 }
 
 #[test]
-fn mean_forgets_entries_that_are_too_old() {
+fn mean_ignores_expired_entries() {
     let mut table = table_of(&[0, 1]);
     table.merge(&[entry(1, 8, 0)], 1_000);
     table.set_local(load(2), 60_000);
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership over tables of lists that lag, flap and go back.
+//! Membership with lists that are out of date or lack a live member.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
 struct Case {
     name: String,
     lists: Vec<BTreeMap<String, (u64, HostState)>>,
-    after: Vec<Believed>,
+    after: Vec<MemberState>,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Believed {
+enum MemberState {
     Live,
     Leaving,
     Gone,
@@ -37,19 +37,19 @@
     }
 }
 
-fn believed(members: &Membership) -> Believed {
+fn member_state(members: &Membership) -> MemberState {
     match members
         .endpoint(&EndpointId::new("e"))
         .map(|endpoint| endpoint.state)
     {
-        Some(HostState::Live) => Believed::Live,
-        Some(HostState::Leaving) => Believed::Leaving,
-        None => Believed::Gone,
+        Some(HostState::Live) => MemberState::Live,
+        Some(HostState::Leaving) => MemberState::Leaving,
+        None => MemberState::Gone,
     }
 }
 
 #[test]
-fn merge_tables_of_lists() {
+fn merge_follows_the_case_table() {
     let text = include_str!("data/membership.yaml");
     let cases: Vec<Case> = serde_yaml_ng::from_str(text).unwrap();
     for case in cases {
@@ -62,13 +62,13 @@
                 hosts: vec![],
                 endpoints: endpoints.collect(),
             });
-            assert_that!(believed(&members), eq(after), "{}", case.name);
+            assert_that!(member_state(&members), eq(after), "{}", case.name);
         }
     }
 }
 
 #[test]
-fn mark_leaving_of_another_incarnation_is_no_news() {
+fn mark_leaving_ignores_another_incarnation() {
     let mut members = Membership::default();
     let list = HostList {
         hosts: vec![],
@@ -84,5 +84,5 @@
         eq(true)
     );
     members.merge(&list);
-    assert_that!(believed(&members), eq(&Believed::Leaving));
+    assert_that!(member_state(&members), eq(&MemberState::Leaving));
 }
--- a/crates/core/tests/owner.rs
+++ b/crates/core/tests/owner.rs
@@ -1,4 +1,4 @@
-//! Who may grant: views that change, split and come back.
+//! An owner's authority to grant, across views that change and split.
 
 use chalkrock_core::{
     Authority, OrganisationKey, OwnedEngine, Owner, SlotDecision, SlotHolder, SlotRules,
@@ -7,7 +7,7 @@
 
 const HOSTS: [u8; 8] = [0, 1, 2, 3, 4, 5, 6, 7];
 const ENGINE: &str = "engine";
-const MINUTES_MS: u64 = 300_000;
+const FIVE_MINUTES_MS: u64 = 300_000;
 
 fn owner_of_engine(now_ms: u64) -> Owner<u8, &'static str> {
     let mut owner = Owner::new(0, SlotRules::for_load_multiple(1.25));
@@ -40,9 +40,9 @@
         (3, Authority::None),
     ] {
         let mut owner = owner_of_engine(0);
-        owner.apply_view(&HOSTS[..seen], &owned(), &[], MINUTES_MS);
+        owner.apply_view(&HOSTS[..seen], &owned(), &[], FIVE_MINUTES_MS);
         assert_that!(
-            owner.authority(MINUTES_MS + 1),
+            owner.authority(FIVE_MINUTES_MS + 1),
             eq(authority),
             "sees {seen} of 8"
         );
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn authority_returns_when_the_lost_hosts_are_forgotten() {
+fn authority_returns_when_lost_hosts_expire() {
     let mut owner = owner_of_engine(0);
     owner.apply_view(&HOSTS[..3], &owned(), &[], 1_000);
     assert_that!(owner.authority(2_000), eq(Authority::None));
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn ask_at_a_host_in_the_minority_is_not_answered() {
+fn request_at_a_minority_host_is_not_decided() {
     let mut owner = owner_of_engine(0);
     owner.apply_view(&HOSTS[..3], &owned(), &[], 1_000);
     assert_that!(owner.request_slot(&ENGINE, holder(1), 2_000), none());
 }
 
 #[test]
-fn ask_of_an_engine_that_moved_here_settles_first() {
+fn request_for_an_engine_with_a_new_owner_settles() {
     let mut owner = owner_of_engine(0);
     owner.apply_view(&HOSTS, &[], &[ENGINE], 1_000);
     assert_that!(owner.request_slot(&ENGINE, holder(1), 1_500), none());
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn ask_of_a_new_engine_need_not_settle() {
+fn request_for_a_new_engine_does_not_settle() {
     let mut owner: Owner<u8, &str> = Owner::new(0, SlotRules::for_load_multiple(1.25));
     owner.apply_view(&HOSTS, &[], &[], 0);
     owner.apply_view(&HOSTS, &owned(), &[], 1_000);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn adopt_ahead_of_the_view_is_kept() {
+fn adopted_slots_before_ownership_are_kept() {
     let mut owner: Owner<u8, &str> = Owner::new(0, SlotRules::for_load_multiple(1.25));
     owner.apply_view(&HOSTS, &[], &[], 0);
     owner.adopt(&ENGINE, holder(1), 3, 500);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The search for an engine, answer by answer.
+//! The search for an engine, response by response.
 
 use chalkrock_core::rendezvous::{KeyHash, MemberHash, score};
 use chalkrock_core::{
@@ -21,15 +21,15 @@
     Placement::new(PlacementRules::default(), KeyHash::of(b"chat"), home)
 }
 
-fn asked(step: PlacementStep) -> Vec<usize> {
+fn requested_engines(step: PlacementStep) -> Vec<usize> {
     match step {
         PlacementStep::RequestSlots { engines, .. } => engines,
-        other => panic!("asks, not {other:?}"),
+        other => panic!("expected RequestSlots, not {other:?}"),
     }
 }
 
 #[test]
-fn start_asks_the_hinted_home() {
+fn start_requests_the_hinted_home() {
     let step = search(Home::Hinted(3)).start(&candidates(8));
     assert_that!(
         step,
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn start_of_a_new_chat_asks_a_few_at_once() {
+fn start_of_a_new_chat_requests_several_at_once() {
     assert_that!(
-        asked(search(Home::Uncached).start(&candidates(8))).len(),
+        requested_engines(search(Home::Uncached).start(&candidates(8))).len(),
         eq(3)
     );
 }
@@ -61,46 +61,46 @@
 }
 
 #[test]
-fn refused_home_leads_to_the_least_loaded_other() {
+fn refusal_at_home_leads_to_the_least_loaded_alternative() {
     let candidates = candidates(8);
     let mut placement = search(Home::Hinted(0));
     placement.start(&candidates);
-    let held = placement.record_response(&candidates, 0, AT_BOUND);
+    let retried = placement.record_response(&candidates, 0, AT_BOUND);
     assert_that!(
-        held,
+        retried,
         eq(&PlacementStep::RequestSlots {
             engines: vec![0],
             wait_ms: 400
         })
     );
-    let others = asked(placement.record_response(&candidates, 0, AT_BOUND));
-    assert_that!(others, not(contains(eq(&0))));
+    let alternatives = requested_engines(placement.record_response(&candidates, 0, AT_BOUND));
+    assert_that!(alternatives, not(contains(eq(&0))));
     let granted = |load| SlotResponse::Granted { load };
     assert_that!(
-        placement.record_response(&candidates, others[0], granted(7)),
+        placement.record_response(&candidates, alternatives[0], granted(7)),
         eq(&PlacementStep::AwaitResponses)
     );
     assert_that!(
-        placement.record_response(&candidates, others[1], granted(5)),
+        placement.record_response(&candidates, alternatives[1], granted(5)),
         eq(&PlacementStep::AwaitResponses)
     );
-    let step = placement.record_response(&candidates, others[2], AT_BOUND);
+    let step = placement.record_response(&candidates, alternatives[2], AT_BOUND);
     assert_that!(
         step,
         eq(&PlacementStep::Dispatch {
-            to: others[1],
+            to: alternatives[1],
             with_slot: true,
-            surplus: vec![others[0]]
+            surplus: vec![alternatives[0]]
         })
     );
 }
 
 #[test]
-fn least_loaded_is_judged_by_weight() {
+fn least_load_is_relative_to_weight() {
     let mut candidates = candidates(3);
     candidates[2].weight = 4.0;
     let mut placement = search(Home::Uncached);
-    let engines = asked(placement.start(&candidates));
+    let engines = requested_engines(placement.start(&candidates));
     let mut last = PlacementStep::AwaitResponses;
     for engine in engines {
         let load = if engine == 2 { 8 } else { 4 };
@@ -121,8 +121,8 @@
     while step != PlacementStep::RefuseAtBound {
         step = match step {
             PlacementStep::RequestSlots { engines, .. } => {
-                let answer = |engine| placement.record_response(&candidates, engine, AT_BOUND);
-                engines.into_iter().map(answer).last().unwrap()
+                let respond = |engine| placement.record_response(&candidates, engine, AT_BOUND);
+                engines.into_iter().map(respond).last().unwrap()
             }
             PlacementStep::Pause { .. } => {
                 pauses += 1;
@@ -135,25 +135,26 @@
 }
 
 #[test]
-fn no_answer_at_all_is_no_owner() {
+fn no_response_is_no_owner() {
     let candidates = candidates(4);
     let mut placement = search(Home::Hinted(0));
     let mut step = placement.start(&candidates);
     while let PlacementStep::RequestSlots { engines, .. } = step {
-        let answer =
+        let respond =
             |engine| placement.record_response(&candidates, engine, SlotResponse::Unavailable);
-        step = engines.into_iter().map(answer).last().unwrap();
+        step = engines.into_iter().map(respond).last().unwrap();
     }
     assert_that!(step, eq(&PlacementStep::NoOwner));
 }
 
 #[test]
-fn absent_home_is_not_asked_again() {
+fn unavailable_home_is_not_requested_again() {
     let candidates = candidates(8);
     let mut placement = search(Home::Hinted(0));
     placement.start(&candidates);
-    let others = asked(placement.record_response(&candidates, 0, SlotResponse::Unavailable));
-    assert_that!(others, not(contains(eq(&0))));
+    let alternatives =
+        requested_engines(placement.record_response(&candidates, 0, SlotResponse::Unavailable));
+    assert_that!(alternatives, not(contains(eq(&0))));
 }
 
 #[test]
@@ -173,10 +174,10 @@
 }
 
 #[test]
-fn granted_engine_goes_before_an_estimated_one() {
+fn granted_engine_precedes_an_estimated_one() {
     let candidates = candidates(3);
     let mut placement = search(Home::Uncached);
-    let engines = asked(placement.start(&candidates));
+    let engines = requested_engines(placement.start(&candidates));
     placement.record_response(&candidates, engines[0], SlotResponse::Estimated { load: 0 });
     placement.record_response(&candidates, engines[1], SlotResponse::Granted { load: 9 });
     let step = placement.record_response(&candidates, engines[2], SlotResponse::Unavailable);
@@ -192,9 +193,9 @@
 }
 
 #[test]
-fn own_room_is_a_share_of_the_own_mean() {
+fn local_capacity_is_a_multiple_of_the_local_mean() {
     let candidates = candidates(4);
-    for (own_loads, room) in [
+    for (local_loads, has_capacity) in [
         ([4, 4, 4, 4], true),
         ([5, 4, 4, 4], false),
         ([0, 0, 0, 0], false),
@@ -202,29 +203,29 @@
         ([0, 2, 2, 2], true),
     ] {
         assert_that!(
-            has_local_capacity(&candidates, 0, &own_loads, 1.25),
-            eq(room),
-            "{own_loads:?}"
+            has_local_capacity(&candidates, 0, &local_loads, 1.25),
+            eq(has_capacity),
+            "{local_loads:?}"
         );
     }
 }
 
 #[test]
-fn organisation_over_its_share_is_told_after_one_round() {
+fn organisation_over_its_share_is_refused_after_one_round() {
     let candidates = candidates(20);
     let mut placement = search(Home::Hinted(0));
     placement.start(&candidates);
     let over_share = SlotResponse::OverShare { load: 9 };
-    let others = asked(placement.record_response(&candidates, 0, over_share));
-    let answer = |engine| placement.record_response(&candidates, engine, over_share);
+    let alternatives = requested_engines(placement.record_response(&candidates, 0, over_share));
+    let respond = |engine| placement.record_response(&candidates, engine, over_share);
     assert_that!(
-        others.into_iter().map(answer).last(),
+        alternatives.into_iter().map(respond).last(),
         some(eq(&PlacementStep::RefuseOverShare))
     );
 }
 
 #[test]
-fn ranks_follow_the_scores_whatever_the_weights() {
+fn ranks_follow_the_scores_with_any_weights() {
     let mut candidates = candidates(200);
     for (i, candidate) in candidates.iter_mut().enumerate() {
         candidate.weight = [1.0, 64.0, 3.0, 1.0][i % 4];
@@ -235,6 +236,9 @@
         let s = |i: usize| score(key, candidates[i].hash, candidates[i].weight);
         ranked.sort_by(|a, b| s(*b).total_cmp(&s(*a)));
         let mut placement = Placement::new(PlacementRules::default(), key, Home::Uncached);
-        assert_that!(asked(placement.start(&candidates)), eq(&ranked[..3]));
+        assert_that!(
+            requested_engines(placement.start(&candidates)),
+            eq(&ranked[..3])
+        );
     }
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget in an outage, and after it.
+//! The retry budget during and after an outage.
 
 use chalkrock_core::RetryBudget;
 use googletest::prelude::*;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn budget_ends_in_an_outage() {
+fn budget_is_exhausted_in_an_outage() {
     let mut budget = RetryBudget::default();
     assert_that!(taken(&mut budget, 1_000), eq(20));
 }
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn budget_does_not_grow_without_end() {
+fn budget_growth_is_limited() {
     let mut budget = RetryBudget::default();
     (0..10_000).for_each(|_| budget.record_success());
     assert_that!(taken(&mut budget, 1_000), eq(20));
--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -1,4 +1,4 @@
-//! One engine's ledger: limits, late reports, adoption, lost give-backs.
+//! One engine's ledger: limits, delayed reports, adoption, slots not returned.
 
 use std::collections::HashMap;
 
@@ -16,10 +16,10 @@
 }
 
 fn holder(host: u8) -> SlotHolder<u8> {
-    of_organisation(host, 0)
+    holder_in(host, 0)
 }
 
-fn of_organisation(host: u8, organisation: u32) -> SlotHolder<u8> {
+fn holder_in(host: u8, organisation: u32) -> SlotHolder<u8> {
     SlotHolder {
         host,
         organisation: OrganisationKey(organisation),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn limit_lies_above_the_mean() {
+fn limit_exceeds_the_mean() {
     for mean in [0.0, 1.0, 4.0, 4.9, 8.0, 42.0] {
         let limit = rules().limit(mean, 1.0);
         assert_that!(f64::from(limit), gt(mean.max(4.0)));
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn ask_stops_at_the_limit() {
+fn grants_stop_at_the_limit() {
     let mut slots = EngineSlots::new(1.0, 0);
     let granted = (0..20).filter(|_| grant(&mut slots, 1, 10, 8.0)).count();
     assert_that!(granted, eq(rules().limit(8.0, 1.0) as usize));
 }
 
 #[test]
-fn ask_before_settling_is_not_granted() {
+fn request_before_settling_is_not_granted() {
     let rules = SlotRules::for_load_multiple(1.25);
     let mut slots = EngineSlots::new(1.0, 1_000);
     let early = request_slot(
@@ -93,19 +93,19 @@
 }
 
 #[test]
-fn report_shows_load_that_others_granted() {
+fn report_includes_foreign_load() {
     let mut slots = EngineSlots::<u8>::new(1.0, 0);
     slots.report(20_000, 7, &rules());
     assert_that!(slots.load(), eq(7));
 }
 
 #[test]
-fn report_that_is_late_does_not_count_grants_twice() {
+fn delayed_report_does_not_count_grants_twice() {
     let mut slots = EngineSlots::new(1.0, 0);
     for _ in 0..6 {
         grant(&mut slots, 1, 10_000, 8.0);
     }
-    // It speaks of some moment of the last seconds: any value from 0 to 6 fits.
+    // A report may describe any time of the grants, so 0 to 6 are consistent.
     for in_progress in [0, 3, 6] {
         slots.report(11_000, in_progress, &rules());
         assert_that!(slots.load(), eq(6), "report {in_progress}");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn report_frees_slots_that_were_never_given_back() {
+fn report_frees_slots_that_were_not_returned() {
     let mut slots = EngineSlots::new(1.0, 0);
     for _ in 0..6 {
         grant(&mut slots, 1, 1_000, 8.0);
@@ -123,10 +123,10 @@
 }
 
 #[test]
-fn foreign_load_that_ended_is_forgotten_while_own_grants_vary() {
+fn completed_foreign_load_decays_while_local_grants_vary() {
     let mut slots = EngineSlots::new(1.0, 0);
     slots.report(10_000, 8, &rules());
-    // The eight end, and eight of our own begin.
+    // The eight foreign requests complete, and eight local grants replace them.
     for _ in 0..8 {
         grant(&mut slots, 1, 11_000, 20.0);
     }
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn adopt_before_any_report_is_news() {
+fn adopt_before_any_report_adds_load() {
     let mut slots = EngineSlots::new(1.0, 0);
     slots.adopt(holder(1), 100, 5);
     assert_that!(slots.load(), eq(5));
 }
 
 #[test]
-fn adopt_after_a_report_moves_foreign_load() {
+fn adopt_after_a_report_converts_foreign_load() {
     let mut slots = EngineSlots::new(1.0, 0);
     slots.report(20_000, 5, &rules());
     slots.adopt(holder(1), 20_100, 5);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn shared_owners_together_stay_under_the_limit() {
+fn shared_owners_stay_under_the_limit_in_total() {
     let (mut a, mut b) = (EngineSlots::new(1.0, 0), EngineSlots::new(1.0, 0));
     let limit = rules().limit(8.0, 1.0);
     for slots in [&mut a, &mut b] {
@@ -177,9 +177,9 @@
     }
 }
 
-/// How many of `count` asks of an organisation are granted.
+/// Number of `count` requests of an organisation that are granted.
 fn granted_to(slots: &mut EngineSlots<u8>, organisation: u32, count: usize) -> usize {
-    let holder = of_organisation(1, organisation);
+    let holder = holder_in(1, organisation);
     let mut request = || request_slot(slots, holder, 10, 20.0, false, &crowded_rules());
     (0..count)
         .filter(|_| matches!(request(), SlotDecision::Granted { .. }))
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn share_of_others_is_kept_free_of_a_surge() {
+fn share_of_others_is_reserved_in_a_surge() {
     let mut slots = EngineSlots::new(1.0, 0);
     assert_that!(granted_to(&mut slots, 2, 1), eq(1));
     assert_that!(granted_to(&mut slots, 1, 20), eq(7));
@@ -204,21 +204,21 @@
 fn share_goes_by_weight() {
     let mut slots = EngineSlots::new(1.0, 0);
     granted_to(&mut slots, 1, 8);
-    // It weighs 3 against 1: three quarters are its share.
+    // Its weight is 3 of 4, so its share is three quarters.
     assert_that!(granted_to(&mut slots, 9, 20), eq(2));
     let refused = request_slot(
         &mut slots,
-        of_organisation(1, 1),
+        holder_in(1, 1),
         10,
         20.0,
         false,
         &crowded_rules(),
     );
     assert_that!(refused, eq(SlotDecision::AtBound { load: 10 }));
-    slots.return_slots(&of_organisation(1, 1), 20, 1);
+    slots.return_slots(&holder_in(1, 1), 20, 1);
     let borrower = request_slot(
         &mut slots,
-        of_organisation(1, 1),
+        holder_in(1, 1),
         30,
         20.0,
         false,
@@ -230,17 +230,17 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Ask(u8),
-    GiveBack(u8),
-    HostGone(u8),
+    Request(u8),
+    Return(u8),
+    RemoveHost(u8),
     Wait(u64),
 }
 
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        4 => (0..4u8).prop_map(Op::Ask),
-        3 => (0..4u8).prop_map(Op::GiveBack),
-        1 => (0..4u8).prop_map(Op::HostGone),
+        4 => (0..4u8).prop_map(Op::Request),
+        3 => (0..4u8).prop_map(Op::Return),
+        1 => (0..4u8).prop_map(Op::RemoveHost),
         1 => (0..500u64).prop_map(Op::Wait),
     ]
 }
@@ -253,8 +253,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, the ledger equals a plain count of what each holder
-    /// holds, and no grant passes the limit.
+    /// The ledger equals a plain count of each holder's slots, and no grant exceeds
+    /// the limit.
     #[test]
     fn ledger_matches_a_plain_count(ops in prop::collection::vec(op(), 1..200)) {
         let mut slots = EngineSlots::new(1.0, 0);
@@ -262,19 +262,19 @@
         let mut now_ms = 0;
         for op in ops {
             match op {
-                Op::Ask(host) => {
+                Op::Request(host) => {
                     if grant(&mut slots, host, now_ms, 6.0) {
                         *held.entry(host).or_default() += 1;
                         prop_assert!(slots.load() <= rules().limit(6.0, 1.0));
                     }
                 }
-                Op::GiveBack(host) => {
+                Op::Return(host) => {
                     slots.return_slots(&holder(host), now_ms, 1);
                     if let Some(count) = held.get_mut(&host) {
                         *count = count.saturating_sub(1);
                     }
                 }
-                Op::HostGone(host) => {
+                Op::RemoveHost(host) => {
                     slots.remove_host(&host, now_ms);
                     held.remove(&host);
                 }
--- a/crates/core/tests/tokens.rs
+++ b/crates/core/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens that callers carry: read back, refused when foreign or altered.
+//! Tokens: round trip, and rejection of foreign or altered ones.
 
 use chalkrock_core::{ErrorKind, HomeHint, OrganisationId, StreamPlace, TokenKey};
 use googletest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn read_home_gives_back_what_was_signed() {
+fn read_home_returns_the_signed_home() {
     let key = TokenKey::new(b"key");
     let token = key.sign_home(&home("a"));
     assert_that!(
@@ -56,14 +56,14 @@
         ..ProptestConfig::default()
     })]
 
-    /// No text is read as a token unless it was signed, and none panics.
+    /// Unsigned text is rejected without a panic.
     #[test]
     fn read_refuses_any_other_text(text in ".{0,200}") {
         let key = TokenKey::new(b"key");
         prop_assert!(key.read_place(&text, &OrganisationId::new("a")).is_err());
     }
 
-    /// One changed byte is enough to be refused.
+    /// A token with one altered byte is rejected.
     #[test]
     fn read_refuses_altered_tokens(at in 0usize..60, to in "[A-Za-z0-9]") {
         let key = TokenKey::new(b"key");
