--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -3,8 +3,8 @@
 //! Rendezvous hashing over the live hosts selects each engine's owner, so hosts
 //! with different views may own the same engine. Three rules keep the bound:
 //!
-//! - A new owner grants nothing until all views have changed and all routers
-//!   have reported the slots that they hold.
+//! - A new owner first waits until views converge and routers report the slots
+//!   that they hold.
 //! - A host that sees less than half of the recent hosts grants nothing, since
 //!   the others may have assigned its engines to another owner.
 //! - A host that sees exactly half of them assumes another owner that grants as
@@ -81,7 +81,7 @@
 ///
 /// ```
 /// use chalkrock_core::{
-///     SlotHolder, OrganisationKey, OwnedEngine, Owner, SlotDecision, SlotRules,
+///     OrganisationKey, OwnedEngine, Owner, SlotDecision, SlotHolder, SlotRules,
 /// };
 ///
 /// let rules = SlotRules { settle_ms: 0, ..SlotRules::for_load_multiple(1.25) };
@@ -98,13 +98,10 @@
     ledgers: HashMap<E, Ledger<H>>,
     table: LoadTable<H>,
     sampled: LoadSampler,
-    /// When each host was last in the view.
     host_seen_at_ms: HashMap<H, u64>,
-    /// The hosts of the view.
     hosts: Vec<H>,
     /// Until then, other owners may have granted slots unknown to this host.
     shared_until_ms: u64,
-    /// When each engine was last in the view.
     engine_seen_at_ms: HashMap<E, u64>,
 }
 
@@ -275,8 +272,8 @@
         }
     }
 
-    /// Replaces a holder's slots by the count that its router reports. The count is
-    /// kept even if this host does not own the engine yet: the router's view may be newer.
+    /// Replaces a holder's slots by the count that its router reports. Kept also for
+    /// an engine that this host does not own, since the router's view may be newer.
     pub fn adopt(&mut self, engine: &E, holder: SlotHolder<H>, count: u32, now_ms: u64) {
         let ledger = self
             .ledgers
@@ -285,7 +282,7 @@
         ledger.slots.adopt(holder, now_ms, count);
     }
 
-    /// Releases all slots of a host that left.
+    /// Releases all slots that a host's router holds.
     pub fn remove_host(&mut self, host: &H, now_ms: u64) {
         for ledger in self.ledgers.values_mut() {
             ledger.slots.remove_host(host, now_ms);
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,10 +1,10 @@
 //! The search for a request's engine, as a state machine without I/O.
 //!
-//! The search requests a slot at the chat's home first. If that fails, or the
-//! chat is new, it requests slots at several alternatives at once and takes the
-//! least loaded that grants one. At a home at its bound it retries once with a
-//! wait, since a slot often frees up sooner than another engine recomputes the
-//! prefix. The first request never waits, so that a dead owner is detected at once.
+//! A slot is first requested at the chat's home. If that fails, or the chat is new,
+//! slots are requested at several alternatives at once, and the least loaded that
+//! grants one is used. A home at its bound is retried once with a wait: a slot
+//! often frees up sooner than another engine recomputes the prefix. The first
+//! request never waits, so that a dead owner is detected at once.
 
 use crate::rendezvous::{KeyHash, MemberHash, min_unit_for_score, unit_hash, unit_score};
 
@@ -135,7 +135,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Home,
-    /// The home is at its bound, and its owner waits for a free slot.
+    /// The home's owner waits for a slot to free up.
     HomeWaiting,
     Alternatives {
         round: usize,
@@ -148,14 +148,16 @@
 ///
 /// ```
 /// use chalkrock_core::rendezvous::{KeyHash, MemberHash};
-/// use chalkrock_core::{EngineCandidate, Home, Placement, PlacementRules, PlacementStep, SlotResponse};
+/// use chalkrock_core::PlacementStep::{Dispatch, RequestSlots};
+/// use chalkrock_core::{EngineCandidate, Home, Placement, PlacementRules, SlotResponse};
 ///
 /// let candidates = ["a", "b"].map(|n| EngineCandidate { hash: MemberHash::of(n), weight: 1.0 });
 /// let chat = KeyHash::of(b"chat");
 /// let mut placement = Placement::new(PlacementRules::default(), chat, Home::FirstRank);
-/// let PlacementStep::RequestSlots { engines, .. } = placement.start(&candidates) else { panic!() };
-/// let step = placement.record_response(&candidates, engines[0], SlotResponse::Granted { load: 1 });
-/// assert_eq!(step, PlacementStep::Dispatch { to: engines[0], with_slot: true, surplus: vec![] });
+/// let RequestSlots { engines, .. } = placement.start(&candidates) else { panic!() };
+/// let granted = SlotResponse::Granted { load: 1 };
+/// let step = placement.record_response(&candidates, engines[0], granted);
+/// assert_eq!(step, Dispatch { to: engines[0], with_slot: true, surplus: vec![] });
 /// ```
 #[derive(Clone, Debug)]
 pub struct Placement {
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -114,7 +114,7 @@
 pub struct SlotRequestContext<'a> {
     /// The pool's mean load per unit of weight.
     pub mean_load: f64,
-    /// Whether another host may own the engine too.
+    /// Whether another host may also own the engine.
     pub shared: bool,
     /// How slots are granted.
     pub rules: &'a SlotRules,
@@ -166,12 +166,13 @@
 ///
 /// ```
 /// use chalkrock_core::{
-///     SlotRequestContext, EngineSlots, SlotHolder, OrganisationKey, SlotDecision, SlotRules, Weights,
+///     EngineSlots, OrganisationKey, SlotDecision, SlotHolder, SlotRequestContext, SlotRules,
+///     Weights,
 /// };
 ///
 /// let rules = SlotRules { settle_ms: 0, ..SlotRules::for_load_multiple(1.25) };
-/// let weights = Weights::default();
-/// let context = SlotRequestContext { mean_load: 8.0, shared: false, rules: &rules, weights: &weights };
+/// let (rules, weights) = (&rules, &Weights::default());
+/// let context = SlotRequestContext { mean_load: 8.0, shared: false, rules, weights };
 /// let holder = SlotHolder { host: "host-1", organisation: OrganisationKey(7) };
 /// let mut slots = EngineSlots::new(1.0, 0);
 /// assert_eq!(slots.request_slot(holder, 10, context), SlotDecision::Granted { load: 1 });
@@ -321,8 +322,8 @@
         self.record_sample(now_ms);
     }
 
-    /// Releases all slots of a host that left. Reports still count its requests
-    /// while they run.
+    /// Releases all slots that a host's router holds. Reports still count its
+    /// requests while they run.
     pub fn remove_host(&mut self, host: &H, now_ms: u64) {
         let removed: Vec<_> = self
             .held
@@ -340,7 +341,7 @@
         let (min, max) = self.granted_between(from_ms, to_ms);
         let low = i64::from(in_progress) - i64::from(max);
         let high = i64::from(in_progress) - i64::from(min);
-        // Decays towards the ledger's own count, the likeliest load in range.
+        // Decays towards the ledger's own count, the most likely load in range.
         // Otherwise completed foreign requests raise the mean and every limit.
         self.reports += 1;
         if self.reports.is_multiple_of(REPORTS_PER_STEP) {
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -21,7 +21,7 @@
     Placement::new(PlacementRules::default(), KeyHash::of(b"chat"), home)
 }
 
-fn requested_engines(step: PlacementStep) -> Vec<usize> {
+fn requested(step: PlacementStep) -> Vec<usize> {
     match step {
         PlacementStep::RequestSlots { engines, .. } => engines,
         other => panic!("expected RequestSlots, not {other:?}"),
@@ -43,7 +43,7 @@
 #[test]
 fn start_of_a_new_chat_requests_several_at_once() {
     assert_that!(
-        requested_engines(search(Home::Uncached).start(&candidates(8))).len(),
+        requested(search(Home::Uncached).start(&candidates(8))).len(),
         eq(3)
     );
 }
@@ -73,7 +73,7 @@
             wait_ms: 400
         })
     );
-    let alternatives = requested_engines(placement.record_response(&candidates, 0, AT_BOUND));
+    let alternatives = requested(placement.record_response(&candidates, 0, AT_BOUND));
     assert_that!(alternatives, not(contains(eq(&0))));
     let granted = |load| SlotResponse::Granted { load };
     assert_that!(
@@ -100,7 +100,7 @@
     let mut candidates = candidates(3);
     candidates[2].weight = 4.0;
     let mut placement = search(Home::Uncached);
-    let engines = requested_engines(placement.start(&candidates));
+    let engines = requested(placement.start(&candidates));
     let mut last = PlacementStep::AwaitResponses;
     for engine in engines {
         let load = if engine == 2 { 8 } else { 4 };
@@ -153,7 +153,7 @@
     let mut placement = search(Home::Hinted(0));
     placement.start(&candidates);
     let alternatives =
-        requested_engines(placement.record_response(&candidates, 0, SlotResponse::Unavailable));
+        requested(placement.record_response(&candidates, 0, SlotResponse::Unavailable));
     assert_that!(alternatives, not(contains(eq(&0))));
 }
 
@@ -177,7 +177,7 @@
 fn granted_engine_precedes_an_estimated_one() {
     let candidates = candidates(3);
     let mut placement = search(Home::Uncached);
-    let engines = requested_engines(placement.start(&candidates));
+    let engines = requested(placement.start(&candidates));
     placement.record_response(&candidates, engines[0], SlotResponse::Estimated { load: 0 });
     placement.record_response(&candidates, engines[1], SlotResponse::Granted { load: 9 });
     let step = placement.record_response(&candidates, engines[2], SlotResponse::Unavailable);
@@ -216,7 +216,7 @@
     let mut placement = search(Home::Hinted(0));
     placement.start(&candidates);
     let over_share = SlotResponse::OverShare { load: 9 };
-    let alternatives = requested_engines(placement.record_response(&candidates, 0, over_share));
+    let alternatives = requested(placement.record_response(&candidates, 0, over_share));
     let respond = |engine| placement.record_response(&candidates, engine, over_share);
     assert_that!(
         alternatives.into_iter().map(respond).last(),
@@ -236,9 +236,6 @@
         let s = |i: usize| score(key, candidates[i].hash, candidates[i].weight);
         ranked.sort_by(|a, b| s(*b).total_cmp(&s(*a)));
         let mut placement = Placement::new(PlacementRules::default(), key, Home::Uncached);
-        assert_that!(
-            requested_engines(placement.start(&candidates)),
-            eq(&ranked[..3])
-        );
+        assert_that!(requested(placement.start(&candidates)), eq(&ranked[..3]));
     }
 }
