--- a/crates/agent/src/slots.rs
+++ b/crates/agent/src/slots.rs
@@ -282,7 +282,7 @@
         let mut state = self.state();
         let mut loads = Vec::new();
         for pool in state.pools.values_mut() {
-            let entries = pool.owner.table(now_ms).freshest(now_ms, ENTRIES_MAX);
+            let entries = pool.owner.load_table(now_ms).newest(now_ms, ENTRIES_MAX);
             loads.extend(entries.into_iter().map(|entry| LoadBody {
                 pool: pool.short,
                 host: entry.host,
@@ -309,7 +309,7 @@
                     age_ms: load.age_ms.into(),
                 })
                 .collect();
-            pool.owner.table(now_ms).merge(&entries, now_ms);
+            pool.owner.load_table(now_ms).merge(&entries, now_ms);
         }
     }
 
@@ -329,7 +329,7 @@
         let mut state = self.state();
         let means = state.pools.iter_mut();
         means
-            .map(|(name, pool)| (name.clone(), pool.owner.table(now_ms).mean(now_ms)))
+            .map(|(name, pool)| (name.clone(), pool.owner.load_table(now_ms).mean(now_ms)))
             .collect()
     }
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,6 +1,6 @@
 //! The fleet configuration that operators write: organisations and pools.
 //!
-//! [`FleetConfig::check`] rejects what deserialisation accepts: duplicate
+//! [`FleetConfig::validate`] rejects what deserialisation accepts: duplicate
 //! names and keys, and values out of range.
 
 use std::collections::HashSet;
@@ -107,10 +107,10 @@
     ///     weight: 0,
     ///     key_sha256: vec![],
     /// });
-    /// let error = config.check().unwrap_err();
-    /// assert_eq!(error.place(), "organisations[0].weight");
+    /// let error = config.validate().unwrap_err();
+    /// assert_eq!(error.path(), "organisations[0].weight");
     /// ```
-    pub fn check(&self) -> Result<(), Error> {
+    pub fn validate(&self) -> Result<(), Error> {
         self.check_organisations()?;
         self.check_pools()
     }
@@ -141,16 +141,16 @@
         let mut names = HashSet::new();
         let mut digests = HashSet::new();
         for (i, org) in self.organisations.iter().enumerate() {
-            let place = |field: &str| format!("organisations[{i}].{field}");
+            let path = |field: &str| format!("organisations[{i}].{field}");
             if !names.insert(&org.name) {
                 return Err(Error::new(
                     ErrorKind::Duplicate,
-                    place("name"),
+                    path("name"),
                     "a name of its own",
                 ));
             }
             if org.weight == 0 {
-                return Err(Error::new(ErrorKind::Range, place("weight"), "1 or more"));
+                return Err(Error::new(ErrorKind::Range, path("weight"), "1 or more"));
             }
             for digest in &org.key_sha256 {
                 let is_digest = digest.len() == KEY_DIGEST_DIGITS
@@ -159,13 +159,13 @@
                         .all(|b| b.is_ascii_hexdigit() && !b.is_ascii_uppercase());
                 if !is_digest {
                     let expected = "64 lower-case hexadecimal digits";
-                    return Err(Error::new(ErrorKind::Range, place("key_sha256"), expected));
+                    return Err(Error::new(ErrorKind::Range, path("key_sha256"), expected));
                 }
                 if !digests.insert(digest) {
                     let expected = "a key that no other entry holds";
                     return Err(Error::new(
                         ErrorKind::Duplicate,
-                        place("key_sha256"),
+                        path("key_sha256"),
                         expected,
                     ));
                 }
@@ -178,11 +178,11 @@
         let mut names = HashSet::new();
         let mut models_seen = HashSet::new();
         for (i, pool) in self.pools.iter().enumerate() {
-            let place = |field: &str| format!("pools[{i}].{field}");
+            let path = |field: &str| format!("pools[{i}].{field}");
             if !names.insert(&pool.name) {
                 return Err(Error::new(
                     ErrorKind::Duplicate,
-                    place("name"),
+                    path("name"),
                     "a name of its own",
                 ));
             }
@@ -190,14 +190,14 @@
                 let expected = format!("{MIN_LOAD_MULTIPLE} to {MAX_LOAD_MULTIPLE}");
                 return Err(Error::new(
                     ErrorKind::Range,
-                    place("load_multiple"),
+                    path("load_multiple"),
                     expected,
                 ));
             }
             if pool.deadline_ms == 0 {
                 return Err(Error::new(
                     ErrorKind::Range,
-                    place("deadline_ms"),
+                    path("deadline_ms"),
                     "1 or more",
                 ));
             }
@@ -205,7 +205,7 @@
                 for model in models {
                     if !models_seen.insert(model) {
                         let expected = "a model that no other pool serves";
-                        return Err(Error::new(ErrorKind::Duplicate, place("models"), expected));
+                        return Err(Error::new(ErrorKind::Duplicate, path("models"), expected));
                     }
                 }
             }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -13,28 +13,28 @@
     /// A value is out of range.
     Range,
     /// A token is malformed, has an invalid signature, or belongs to another organisation.
-    Token,
+    InvalidToken,
     /// A policy's program can't be parsed or exceeds its cost limit.
-    Policy,
+    InvalidPolicy,
 }
 
 /// A failed validation: its kind, the path of the value, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     kind: ErrorKind,
-    place: String,
+    path: String,
     expected: String,
 }
 
 impl Error {
     pub(crate) fn new(
         kind: ErrorKind,
-        place: impl Into<String>,
+        path: impl Into<String>,
         expected: impl Into<String>,
     ) -> Self {
         Self {
             kind,
-            place: place.into(),
+            path: path.into(),
             expected: expected.into(),
         }
     }
@@ -45,8 +45,8 @@
     }
 
     /// The path of the invalid value, such as `pools[2].load_multiple`.
-    pub fn place(&self) -> &str {
-        &self.place
+    pub fn path(&self) -> &str {
+        &self.path
     }
 }
 
@@ -56,10 +56,10 @@
             ErrorKind::Duplicate => "named twice",
             ErrorKind::Unknown => "unknown name",
             ErrorKind::Range => "value out of range",
-            ErrorKind::Token => "token refused",
-            ErrorKind::Policy => "policy refused",
+            ErrorKind::InvalidToken => "token refused",
+            ErrorKind::InvalidPolicy => "policy refused",
         };
-        write!(f, "{}: {message}, expected {}", self.place, self.expected)
+        write!(f, "{}: {message}, expected {}", self.path, self.expected)
     }
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -58,7 +58,7 @@
 };
 pub use retry::RetryBudget;
 pub use slots::{
-    EngineSlots, MEAN_FLOOR, OPEN_LOAD_RATIO, OrganisationKey, SlotDecision, SlotHolder,
+    EngineSlots, MIN_MEAN_LOAD, OPEN_LOAD_RATIO, OrganisationKey, SlotDecision, SlotHolder,
     SlotRequestContext, SlotRules, Weights,
 };
 pub use stream::{Arrival, StreamOrder};
--- a/crates/core/src/load_table.rs
+++ b/crates/core/src/load_table.rs
@@ -109,7 +109,7 @@
     }
 
     /// Returns the newest entries, at most `max_entries`, the local host's first.
-    pub fn freshest(&self, now_ms: u64, max_entries: usize) -> Vec<LoadEntry<H>> {
+    pub fn newest(&self, now_ms: u64, max_entries: usize) -> Vec<LoadEntry<H>> {
         let mut entries: Vec<_> = self
             .entries
             .iter()
--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -305,7 +305,7 @@
     }
 
     /// Returns the load table with an updated local entry.
-    pub fn table(&mut self, now_ms: u64) -> &mut LoadTable<H> {
+    pub fn load_table(&mut self, now_ms: u64) -> &mut LoadTable<H> {
         self.update_local_load(now_ms);
         &mut self.table
     }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -16,7 +16,7 @@
 /// Smallest mean load, in requests per engine, from which limits are computed.
 /// Below it, whole requests are too coarse for a multiple, and an idle pool
 /// would grant only as fast as its mean rises.
-pub const MEAN_FLOOR: f64 = 4.0;
+pub const MIN_MEAN_LOAD: f64 = 4.0;
 /// Fraction of an engine's capacity that is granted to any organisation. The rest
 /// is reserved for organisations under their share, so that a surge of another
 /// does not delay them.
@@ -74,7 +74,7 @@
     /// The limit always exceeds the mean. Otherwise all engines could be at their
     /// limits and the mean could never rise.
     pub fn limit(&self, mean_load: f64, weight: f64) -> u32 {
-        let expected = (mean_load * weight).max(MEAN_FLOOR);
+        let expected = (mean_load * weight).max(MIN_MEAN_LOAD);
         let above_mean = expected.floor() + 1.0;
         let by_mean = (self.grant_multiple * expected).floor().max(above_mean);
         by_mean.min((self.capacity * weight).floor()) as u32
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -6,7 +6,7 @@
     /// The next event: forward it.
     Forward,
     /// A duplicate: drop it.
-    Repeat,
+    Duplicate,
     /// Earlier events are missing: resume the stream at `from`.
     Gap {
         /// The first missing event.
@@ -22,9 +22,9 @@
 /// use chalkrock_core::{Arrival, StreamOrder};
 ///
 /// let mut order = StreamOrder::starting_at(0);
-/// assert_eq!(order.arrive(0), Arrival::Forward);
-/// assert_eq!(order.arrive(0), Arrival::Repeat);
-/// assert_eq!(order.arrive(2), Arrival::Gap { from: 1 });
+/// assert_eq!(order.accept(0), Arrival::Forward);
+/// assert_eq!(order.accept(0), Arrival::Duplicate);
+/// assert_eq!(order.accept(2), Arrival::Gap { from: 1 });
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamOrder {
@@ -43,9 +43,9 @@
     }
 
     /// Classifies an event by its number and advances past the next one.
-    pub fn arrive(&mut self, number: u64) -> Arrival {
+    pub fn accept(&mut self, number: u64) -> Arrival {
         if number < self.next {
-            return Arrival::Repeat;
+            return Arrival::Duplicate;
         }
         if number > self.next {
             return Arrival::Gap { from: self.next };
--- a/crates/core/src/token.rs
+++ b/crates/core/src/token.rs
@@ -139,5 +139,5 @@
 }
 
 fn token_error(expected: &str) -> Error {
-    Error::new(ErrorKind::Token, "token", expected)
+    Error::new(ErrorKind::InvalidToken, "token", expected)
 }
--- a/crates/core/tests/load_table.rs
+++ b/crates/core/tests/load_table.rs
@@ -29,14 +29,14 @@
     let mut table = table_of(&[0, 1]);
     table.merge(&[entry(1, 8, 100)], 1_000);
     table.merge(&[entry(1, 2, 900)], 1_000);
-    assert_that!(table.freshest(1_000, 5)[0].load.in_progress, eq(8));
+    assert_that!(table.newest(1_000, 5)[0].load.in_progress, eq(8));
 }
 
 #[test]
 fn merge_ignores_hosts_outside_the_view() {
     let mut table = table_of(&[0, 1]);
     table.merge(&[entry(2, 8, 0)], 1_000);
-    assert_that!(table.freshest(1_000, 5), is_empty());
+    assert_that!(table.newest(1_000, 5), is_empty());
 }
 
 /// Guards against a stalled exchange that lowers the mean, and so the limits,
--- a/crates/core/tests/tokens.rs
+++ b/crates/core/tests/tokens.rs
@@ -44,7 +44,7 @@
     ];
     for (name, token) in cases {
         let error = key.read_home(&token, &a).unwrap_err();
-        assert_that!(error.kind(), eq(ErrorKind::Token), "{name}");
+        assert_that!(error.kind(), eq(ErrorKind::InvalidToken), "{name}");
     }
 }
 
--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -50,7 +50,7 @@
 /// Reads and checks a configuration file.
 pub(crate) fn read_file(file: &Path) -> Result<FleetConfig, CtlError> {
     let config: FleetConfig = load_settings(file)?;
-    config.check().map_err(|source| CtlError::Invalid {
+    config.validate().map_err(|source| CtlError::Invalid {
         file: file.display().to_string(),
         source,
     })?;
--- a/crates/e2e/tests/bound.rs
+++ b/crates/e2e/tests/bound.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use chalkrock_core::MEAN_FLOOR;
+use chalkrock_core::MIN_MEAN_LOAD;
 use chalkrock_e2e::{Cluster, ClusterSize, MODEL};
 use chalkrock_standin::EngineSettings;
 use googletest::prelude::*;
@@ -112,7 +112,7 @@
             .collect();
         let mean = loads.iter().sum::<usize>() as f64 / loads.len() as f64;
         let max = loads.into_iter().max().unwrap_or(0) as f64;
-        if mean >= MEAN_FLOOR {
+        if mean >= MIN_MEAN_LOAD {
             worst.samples += 1;
             let over = max - LOAD_MULTIPLE * mean;
             worst.over_samples += u32::from(over > IN_FLIGHT);
--- a/crates/platform/src/config_store.rs
+++ b/crates/platform/src/config_store.rs
@@ -157,7 +157,7 @@
         expect: ConfigVersion,
         change: Change,
     ) -> Result<ConfigHead, SubmitError> {
-        config.check()?;
+        config.validate()?;
         let row = self
             .platform
             .read_row(HEAD_KEY)
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -210,10 +210,10 @@
             return self.garbage("an event has no number");
         };
         let number = self.base + number;
-        match self.order.arrive(number) {
+        match self.order.accept(number) {
             // A resume that brought something on was worth it.
             Arrival::Forward => self.resumes = 0,
-            Arrival::Repeat => return Step::Skip,
+            Arrival::Duplicate => return Step::Skip,
             Arrival::Gap { .. } => return Step::Resume,
         }
         let Ok(chunk) = serde_json::from_str::<Chunk>(&event.data) else {
