--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -77,7 +77,7 @@
     EndpointUnreachable,
     /// The endpoint rejected the request without starting it.
     EndpointRefused,
-    /// The connection to the endpoint ended before the response did.
+    /// The endpoint stopped responding before the end of its response.
     EndpointLost,
     /// The endpoint's response can't be parsed.
     EndpointGarbage,
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -70,7 +70,7 @@
         /// Requests on the engine.
         load: u32,
     },
-    /// The engine is nearly full, and the organisation exceeds its share.
+    /// The engine is nearly full, and the organisation has reached its share.
     OverShare {
         /// Requests on the engine.
         load: u32,
@@ -124,7 +124,7 @@
     /// Refuse the request: every engine tried is at its bound.
     RefuseAtBound,
     /// Refuse the request at once: the engines tried are nearly full, and the
-    /// organisation exceeds its share.
+    /// organisation has reached its share.
     RefuseOverShare,
     /// No owner responded: use [`choose_locally`].
     NoOwner,
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -135,7 +135,7 @@
         /// Requests on the engine.
         load: u32,
     },
-    /// The engine is nearly full, and the organisation exceeds its share.
+    /// The engine is nearly full, and the organisation has reached its share.
     OverShare {
         /// Requests on the engine.
         load: u32,
