--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration that operators write: organisations, pools, policies.
+//! The fleet configuration that operators write: organisations and pools.
 //!
-//! It is one versioned document. [`FleetConfig::check`] finds what a parser
-//! can't: names given twice, names that nothing defines, values out of range.
+//! [`FleetConfig::validate`] rejects what deserialisation accepts: duplicate
+//! names and keys, and values out of range.
 
 use std::collections::HashSet;
 
@@ -10,11 +10,11 @@
 use crate::error::{Error, ErrorKind};
 use crate::ids::{ModelId, OrganisationId, PoolId};
 
-/// The smallest load multiple a pool may promise. Below it, requests are
-/// refused for want of a place while engines stand idle.
-pub const LOAD_MULTIPLE_MIN: f64 = 1.05;
-/// The largest load multiple that still says something.
-pub const LOAD_MULTIPLE_MAX: f64 = 10.0;
+/// The smallest load multiple of a pool. Below it, requests are rejected
+/// while engines have spare capacity.
+pub const MIN_LOAD_MULTIPLE: f64 = 1.05;
+/// The largest load multiple of a pool.
+pub const MAX_LOAD_MULTIPLE: f64 = 10.0;
 /// Length of a SHA-256 digest in hexadecimal digits.
 const KEY_DIGEST_DIGITS: usize = 64;
 
@@ -30,49 +30,49 @@
     pub pools: Vec<Pool>,
 }
 
-/// An organisation whose callers share weight and keys.
+/// An organisation and the keys of its callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
     /// Its name.
     pub name: OrganisationId,
-    /// Its share of a pool against the other organisations' weights.
+    /// Its share of a pool relative to other organisations.
     #[serde(default = "one")]
     pub weight: u32,
-    /// SHA-256 digests, in hexadecimal, of the keys it may use.
+    /// Lower-case hexadecimal SHA-256 digests of its keys.
     #[serde(default)]
     pub key_sha256: Vec<String>,
 }
 
-/// What a pool's endpoints are.
+/// The kind of a pool's endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "serves")]
 pub enum PoolKind {
-    /// Model engines that serve these models.
+    /// Model engines.
     Engines {
-        /// Models as callers name them.
+        /// The models that they serve.
         models: Vec<ModelId>,
     },
-    /// Replicas of one plain service, named as the pool.
+    /// Instances of a service that has the pool's name.
     Service {
-        /// Whether each call may run at most once, even if unmarked.
+        /// Whether calls run at most once, whatever their method and headers.
         #[serde(default)]
         unsafe_to_repeat: bool,
     },
 }
 
-/// A pool of endpoints with its promises.
+/// A pool of endpoints and its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its name. Endpoints in the platform's list name their pool.
+    /// Its name, to which endpoints refer.
     pub name: PoolId,
     /// Engines or a service.
     #[serde(flatten)]
     pub kind: PoolKind,
-    /// No endpoint carries more than this multiple of the pool's mean load.
+    /// The most load of an endpoint, as a multiple of the pool's mean load.
     #[serde(default = "default_load_multiple")]
     pub load_multiple: f64,
-    /// How long a request may take from entry to its last byte.
+    /// Time limit of a request, from its arrival to the last byte of the response.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
 }
@@ -90,11 +90,11 @@
 }
 
 impl FleetConfig {
-    /// Checks the document as a whole.
+    /// Validates the configuration.
     ///
     /// # Errors
     ///
-    /// The first violation found, with the path of the value.
+    /// Returns the first violation, with the path of the value.
     ///
     /// # Example
     ///
@@ -107,31 +107,31 @@
     ///     weight: 0,
     ///     key_sha256: vec![],
     /// });
-    /// let error = config.check().unwrap_err();
-    /// assert_eq!(error.place(), "organisations[0].weight");
+    /// let error = config.validate().unwrap_err();
+    /// assert_eq!(error.path(), "organisations[0].weight");
     /// ```
-    pub fn check(&self) -> Result<(), Error> {
+    pub fn validate(&self) -> Result<(), Error> {
         self.check_organisations()?;
         self.check_pools()
     }
 
-    /// The pool that serves a model, if any.
-    pub fn pool_of_model(&self, model: &str) -> Option<&Pool> {
+    /// Returns the pool that serves a model, if any.
+    pub fn pool_for_model(&self, model: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| match &pool.kind {
             PoolKind::Engines { models } => models.iter().any(|m| m.as_str() == model),
             PoolKind::Service { .. } => false,
         })
     }
 
-    /// The pool of a plain service, if any.
-    pub fn pool_of_service(&self, name: &str) -> Option<&Pool> {
+    /// Returns the pool of a service, if any.
+    pub fn pool_for_service(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| {
             matches!(pool.kind, PoolKind::Service { .. }) && pool.name.as_str() == name
         })
     }
 
-    /// The organisation that holds a key, by the key's digest.
-    pub fn organisation_of_key(&self, digest: &str) -> Option<&Organisation> {
+    /// Returns the organisation of the key with this SHA-256 digest.
+    pub fn organisation_for_key(&self, digest: &str) -> Option<&Organisation> {
         self.organisations
             .iter()
             .find(|org| org.key_sha256.iter().any(|known| known == digest))
@@ -141,16 +141,16 @@
         let mut names = HashSet::new();
         let mut digests = HashSet::new();
         for (i, org) in self.organisations.iter().enumerate() {
-            let place = |field: &str| format!("organisations[{i}].{field}");
+            let path = |field: &str| format!("organisations[{i}].{field}");
             if !names.insert(&org.name) {
                 return Err(Error::new(
                     ErrorKind::Duplicate,
-                    place("name"),
+                    path("name"),
                     "a name of its own",
                 ));
             }
             if org.weight == 0 {
-                return Err(Error::new(ErrorKind::Range, place("weight"), "1 or more"));
+                return Err(Error::new(ErrorKind::Range, path("weight"), "1 or more"));
             }
             for digest in &org.key_sha256 {
                 let is_digest = digest.len() == KEY_DIGEST_DIGITS
@@ -159,13 +159,13 @@
                         .all(|b| b.is_ascii_hexdigit() && !b.is_ascii_uppercase());
                 if !is_digest {
                     let expected = "64 lower-case hexadecimal digits";
-                    return Err(Error::new(ErrorKind::Range, place("key_sha256"), expected));
+                    return Err(Error::new(ErrorKind::Range, path("key_sha256"), expected));
                 }
                 if !digests.insert(digest) {
                     let expected = "a key that no other entry holds";
                     return Err(Error::new(
                         ErrorKind::Duplicate,
-                        place("key_sha256"),
+                        path("key_sha256"),
                         expected,
                     ));
                 }
@@ -176,36 +176,36 @@
 
     fn check_pools(&self) -> Result<(), Error> {
         let mut names = HashSet::new();
-        let mut served = HashSet::new();
+        let mut models_seen = HashSet::new();
         for (i, pool) in self.pools.iter().enumerate() {
-            let place = |field: &str| format!("pools[{i}].{field}");
+            let path = |field: &str| format!("pools[{i}].{field}");
             if !names.insert(&pool.name) {
                 return Err(Error::new(
                     ErrorKind::Duplicate,
-                    place("name"),
+                    path("name"),
                     "a name of its own",
                 ));
             }
-            if !(LOAD_MULTIPLE_MIN..=LOAD_MULTIPLE_MAX).contains(&pool.load_multiple) {
-                let expected = format!("{LOAD_MULTIPLE_MIN} to {LOAD_MULTIPLE_MAX}");
+            if !(MIN_LOAD_MULTIPLE..=MAX_LOAD_MULTIPLE).contains(&pool.load_multiple) {
+                let expected = format!("{MIN_LOAD_MULTIPLE} to {MAX_LOAD_MULTIPLE}");
                 return Err(Error::new(
                     ErrorKind::Range,
-                    place("load_multiple"),
+                    path("load_multiple"),
                     expected,
                 ));
             }
             if pool.deadline_ms == 0 {
                 return Err(Error::new(
                     ErrorKind::Range,
-                    place("deadline_ms"),
+                    path("deadline_ms"),
                     "1 or more",
                 ));
             }
             if let PoolKind::Engines { models } = &pool.kind {
                 for model in models {
-                    if !served.insert(model) {
+                    if !models_seen.insert(model) {
                         let expected = "a model that no other pool serves";
-                        return Err(Error::new(ErrorKind::Duplicate, place("models"), expected));
+                        return Err(Error::new(ErrorKind::Duplicate, path("models"), expected));
                     }
                 }
             }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,20 +1,20 @@
-//! Puts a stream's events in order: repeats dropped, gaps found.
+//! Detects duplicate and missing events in a stream.
 
-/// What to do with an event that arrived.
+/// How to handle a received event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It is the next one: send it on.
+    /// The next event: forward it.
     Forward,
-    /// It was there before: drop it.
-    Repeat,
-    /// Events before it are missing: fetch the stream again from `from`.
+    /// A duplicate: drop it.
+    Duplicate,
+    /// Earlier events are missing: resume the stream at `from`.
     Gap {
-        /// The first event that is missing.
+        /// The first missing event.
         from: u64,
     },
 }
 
-/// The place in one stream. Events are numbered from 0.
+/// The position in a stream, whose events are numbered from 0.
 ///
 /// # Example
 ///
@@ -22,9 +22,9 @@
 /// use chalkrock_core::{Arrival, StreamOrder};
 ///
 /// let mut order = StreamOrder::starting_at(0);
-/// assert_eq!(order.arrive(0), Arrival::Forward);
-/// assert_eq!(order.arrive(0), Arrival::Repeat);
-/// assert_eq!(order.arrive(2), Arrival::Gap { from: 1 });
+/// assert_eq!(order.accept(0), Arrival::Forward);
+/// assert_eq!(order.accept(0), Arrival::Duplicate);
+/// assert_eq!(order.accept(2), Arrival::Gap { from: 1 });
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamOrder {
@@ -32,20 +32,20 @@
 }
 
 impl StreamOrder {
-    /// A stream whose first wanted event is `next`.
+    /// Creates a position at which `next` is the first expected event.
     pub fn starting_at(next: u64) -> Self {
         Self { next }
     }
 
-    /// The next event that is wanted.
+    /// The next expected event.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Takes an event's number.
-    pub fn arrive(&mut self, number: u64) -> Arrival {
+    /// Classifies an event by its number and advances past the next one.
+    pub fn accept(&mut self, number: u64) -> Arrival {
         if number < self.next {
-            return Arrival::Repeat;
+            return Arrival::Duplicate;
         }
         if number > self.next {
             return Arrival::Gap { from: self.next };
