--- a/crates/gateway/tests/gateway/attempts.rs
+++ b/crates/gateway/tests/gateway/attempts.rs
@@ -44,19 +44,19 @@
     case("shed", Behaviour::Shed, "/safe/", 200, 2),
     case("shed", Behaviour::Shed, "/unsafe/", 200, 2),
     case("shed", Behaviour::Shed, "/once/", 503, 1),
-    case("other endpoint", Behaviour::OtherEndpoint, "/safe/", 200, 2),
-    case("other endpoint", Behaviour::OtherEndpoint, "/once/", 200, 2),
+    case("other endpoint", Behaviour::Misdirected, "/safe/", 200, 2),
+    case("other endpoint", Behaviour::Misdirected, "/once/", 200, 2),
     case("reset", Behaviour::Reset, "/safe/", 200, 2),
     case("reset", Behaviour::Reset, "/unsafe/", 502, 1),
     case("reset", Behaviour::Reset, "/once/", 502, 1),
     case("garbage", Behaviour::Garbage, "/safe/", 200, 2),
     case("garbage", Behaviour::Garbage, "/unsafe/", 502, 1),
-    case("other answer", Behaviour::OtherAnswer, "/safe/", 200, 2),
-    case("other answer", Behaviour::OtherAnswer, "/unsafe/", 502, 1),
+    case("other answer", Behaviour::MismatchedId, "/safe/", 200, 2),
+    case("other answer", Behaviour::MismatchedId, "/unsafe/", 502, 1),
     case("extra answer", Behaviour::ExtraAnswer, "/safe/", 200, 1),
     case("extra answer", Behaviour::ExtraAnswer, "/unsafe/", 200, 1),
-    case("cut body", Behaviour::CutBody, "/safe/", 200, 2),
-    case("cut body", Behaviour::CutBody, "/unsafe/", 502, 1),
+    case("cut body", Behaviour::TruncatedBody, "/safe/", 200, 2),
+    case("cut body", Behaviour::TruncatedBody, "/unsafe/", 502, 1),
     case("unsigned", Behaviour::Unsigned, "/safe/", 200, 2),
     case("unsigned", Behaviour::Unsigned, "/unsafe/", 502, 1),
     case("silent", Behaviour::Silent, "/safe/", 200, 2),
@@ -67,18 +67,18 @@
 #[tokio::test]
 async fn attempts_end_as_the_table_says() {
     for case in &CASES {
-        let gateway = TestGateway::before(2, Behaviour::Answer).await;
-        gateway.script.next([case.first.clone()]);
+        let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
+        gateway.script.push([case.first.clone()]);
         let call = Call::post(case.path, b"body")
             .id("r-1")
             .header("deadline", "1500");
         let received = gateway.call(call).await;
         let told = format!("{} on {}", case.name, case.path);
         assert_that!(received.status, eq(case.status), "{told}");
-        assert_that!(gateway.runs_of("r-1"), eq(case.runs), "{told}");
+        assert_that!(gateway.run_count("r-1"), eq(case.runs), "{told}");
         if received.status == 200 {
             assert_that!(received.body, eq(b"body"), "{told}");
-            assert_that!(received.is_whole, eq(true), "{told}");
+            assert_that!(received.is_complete, eq(true), "{told}");
             assert_that!(received.header("id"), some(eq("r-1")), "{told}");
         }
     }
@@ -86,7 +86,7 @@
 
 #[tokio::test]
 async fn attempts_refuse_at_once_and_say_when_to_come_back() {
-    let gateway = TestGateway::before(2, Behaviour::Shed).await;
+    let gateway = TestGateway::with_endpoints(2, Behaviour::Shed).await;
     let received = gateway.call(Call::post("/unsafe/", b"x").id("r-1")).await;
     assert_that!(received.status, eq(503));
     assert_that!(received.header("come-back"), some(anything()));
@@ -95,15 +95,15 @@
 
 #[tokio::test]
 async fn attempts_never_promise_not_run_after_one_that_may_have() {
-    let gateway = TestGateway::before(2, Behaviour::Shed).await;
-    gateway.script.next([Behaviour::Reset]);
+    let gateway = TestGateway::with_endpoints(2, Behaviour::Shed).await;
+    gateway.script.push([Behaviour::Reset]);
     let received = gateway.call(Call::get("/safe/").id("r-1")).await;
     assert_that!(received.status, eq(502));
 }
 
 #[tokio::test]
 async fn attempts_pass_over_endpoints_that_are_not_there() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let mut gone = gateway.endpoints[0].endpoint.clone();
     for i in 0..3 {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -116,7 +116,7 @@
         let id = format!("r-{i}");
         let received = gateway.call(Call::post("/once/", b"x").id(&id)).await;
         assert_that!(received.status, eq(200), "{id}");
-        assert_that!(gateway.runs_of(&id), eq(1));
+        assert_that!(gateway.run_count(&id), eq(1));
     }
 }
 
@@ -134,8 +134,8 @@
     }
     let script = Script::default();
     for name in ["endpoint-1", "endpoint-2"] {
-        let usual = Behaviour::Answer;
-        let endpoint = ScriptedEndpoint::start(name, "pool", usual, script.clone()).await;
+        let behaviour = Behaviour::Answer;
+        let endpoint = ScriptedEndpoint::start(name, "pool", behaviour, script.clone()).await;
         gateway.source.list(endpoint.endpoint.clone());
     }
     until(async || {
@@ -147,7 +147,7 @@
     .await;
     let mut statuses = Vec::new();
     for i in 0..3 {
-        script.next([Behaviour::Fail]);
+        script.push([Behaviour::Fail]);
         let call = Call::get("/safe/").id(&format!("late-{i}"));
         statuses.push(gateway.call(call).await.status);
     }
@@ -158,7 +158,7 @@
 
 #[tokio::test]
 async fn attempts_use_no_connection_that_its_endpoint_closed() {
-    let gateway = TestGateway::before(1, Behaviour::AnswerThenClose).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::AnswerThenClose).await;
     for i in 0..50 {
         let id = format!("r-{i}");
         let received = gateway.call(Call::post("/once/", b"x").id(&id)).await;
@@ -168,7 +168,7 @@
 
 #[tokio::test]
 async fn attempts_use_no_connection_with_an_extra_answer() {
-    let gateway = TestGateway::before(1, Behaviour::ExtraAnswer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::ExtraAnswer).await;
     for i in 0..30 {
         let id = format!("r-{i}");
         let received = gateway.call(Call::post("/once/", b"x").id(&id)).await;
@@ -179,7 +179,7 @@
 
 #[tokio::test]
 async fn attempts_keep_connections_between_requests() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     for i in 0..20 {
         gateway
             .call(Call::get("/safe/").id(&format!("r-{i}")))
@@ -191,29 +191,29 @@
 /// They end with the caller, and not with the time of their route.
 #[tokio::test]
 async fn attempts_end_when_the_caller_leaves() {
-    let gateway = TestGateway::before(1, Behaviour::Silent).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Silent).await;
     let call = Call::post("/patient/", b"x").id("r-1");
     let stream = call.send(gateway.running.front_address()).await;
-    while gateway.runs_of("r-1") == 0 {
+    while gateway.run_count("r-1") == 0 {
         tokio::time::sleep(std::time::Duration::from_millis(1)).await;
     }
     drop(stream);
-    gateway.endpoints[0].was_left().await;
+    gateway.endpoints[0].wait_until_abandoned().await;
 }
 
 /// A caller that leaves an endpoint which said nothing yet proves nothing, and
 /// a silence that is over is found out.
 #[tokio::test]
 async fn attempts_come_back_to_an_endpoint_whose_caller_left() {
-    let gateway = TestGateway::before(2, Behaviour::Answer).await;
-    gateway.script.next([Behaviour::Silent]);
+    let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
+    gateway.script.push([Behaviour::Silent]);
     let call = Call::post("/once/", b"x").id("left");
     let stream = call.send(gateway.running.front_address()).await;
-    until(async || gateway.runs_of("left") > 0).await;
+    until(async || gateway.run_count("left") > 0).await;
     drop(stream);
-    let left = gateway.endpoints.iter().find(|e| e.runs_of("left") > 0);
+    let left = gateway.endpoints.iter().find(|e| e.run_count("left") > 0);
     let left = left.expect("an endpoint that was left");
-    left.was_left().await;
+    left.wait_until_abandoned().await;
     let silence = std::time::Duration::from_millis(1_000);
     tokio::time::sleep(silence).await;
     for i in 0..40 {
@@ -221,7 +221,7 @@
             .call(Call::get("/safe/").id(&format!("r-{i}")))
             .await;
     }
-    let runs: usize = (0..40).map(|i| left.runs_of(&format!("r-{i}"))).sum();
+    let runs: usize = (0..40).map(|i| left.run_count(&format!("r-{i}"))).sum();
     assert_that!(runs, gt(5));
 }
 
@@ -231,28 +231,28 @@
     let source = TestSource::default();
     source.set_rules(rules(1));
     let script = Script::default();
-    let usual = Behaviour::Answer;
-    let endpoint = ScriptedEndpoint::start("endpoint", "pool", usual, script.clone()).await;
+    let behaviour = Behaviour::Answer;
+    let endpoint = ScriptedEndpoint::start("endpoint", "pool", behaviour, script.clone()).await;
     let mut row = endpoint.endpoint.clone();
     row.slots = 2;
     source.list(row);
-    let gateway = TestGateway::with(source, "host-1", Vec::new()).await;
+    let gateway = TestGateway::start(source, "host-1", Vec::new()).await;
     gateway.ready().await;
     let address = gateway.running.front_address();
     let mut waiting = Vec::new();
     for i in 0..8 {
-        script.next([Behaviour::Silent]);
+        script.push([Behaviour::Silent]);
         let id = format!("waits-{i}");
         let call = Call::post("/once/", b"x").id(&id);
-        waiting.push(tokio::spawn(async move { call.to(address).await }));
-        until(async || endpoint.runs_of(&id) == 1).await;
+        waiting.push(tokio::spawn(async move { call.exchange(address).await }));
+        until(async || endpoint.run_count(&id) == 1).await;
     }
-    script.next([Behaviour::AnswerAfter(400)]);
+    script.push([Behaviour::AnswerAfter(400)]);
     let stays = gateway.call(Call::post("/once/", b"x").id("stays")).await;
     assert_that!(stays.status, eq(200));
     let late = gateway.call(Call::post("/once/", b"x").id("late")).await;
     assert_that!(late.status, eq(503));
     assert_that!(late.header("come-back"), some(anything()));
-    assert_that!(endpoint.runs_of("late"), eq(0));
+    assert_that!(endpoint.run_count("late"), eq(0));
     waiting.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/gateway/tests/gateway/builds.rs
+++ b/crates/gateway/tests/gateway/builds.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::support::{TestGateway, figure, rules, until};
+use crate::support::{TestGateway, metric_value, rules, until};
 use googletest::prelude::*;
 use tokio::net::UdpSocket;
 
@@ -29,36 +29,36 @@
 
 #[tokio::test]
 async fn heartbeat_of_the_build_before_is_read() {
-    let gateway = TestGateway::serving(rules(1)).await;
+    let gateway = TestGateway::with_rules(rules(1)).await;
     send(&gateway, &bytes_of(HEARTBEAT)).await;
-    until(async || figure(&gateway, "peers_heard").await == 1.0).await;
+    until(async || metric_value(&gateway, "peers_heard").await == 1.0).await;
     assert_that!(
-        figure(&gateway, "leaving_heard_from_peers_total").await,
+        metric_value(&gateway, "leaving_heard_from_peers_total").await,
         eq(0.0)
     );
-    assert_that!(figure(&gateway, "peer_garbage_total").await, eq(0.0));
+    assert_that!(metric_value(&gateway, "peer_garbage_total").await, eq(0.0));
 }
 
 #[tokio::test]
 async fn datagram_of_a_kind_that_is_not_known_is_passed_over() {
     const KIND_OF_A_LATER_BUILD: u8 = 100;
-    let gateway = TestGateway::serving(rules(1)).await;
+    let gateway = TestGateway::with_rules(rules(1)).await;
     let mut bytes = bytes_of(HEARTBEAT);
     bytes[0] = KIND_OF_A_LATER_BUILD;
     send(&gateway, &bytes).await;
-    until(async || figure(&gateway, "peer_garbage_total").await == 1.0).await;
+    until(async || metric_value(&gateway, "peer_garbage_total").await == 1.0).await;
     send(&gateway, &bytes_of(HEARTBEAT)).await;
-    until(async || figure(&gateway, "peers_heard").await == 1.0).await;
+    until(async || metric_value(&gateway, "peers_heard").await == 1.0).await;
 }
 
 /// What is appended to a known kind is passed over too.
 #[tokio::test]
 async fn heartbeat_with_more_behind_it_is_read() {
-    let gateway = TestGateway::serving(rules(1)).await;
+    let gateway = TestGateway::with_rules(rules(1)).await;
     let mut bytes = bytes_of(HEARTBEAT);
     bytes.extend_from_slice(b"more of a later build");
     send(&gateway, &bytes).await;
-    until(async || figure(&gateway, "peers_heard").await == 1.0).await;
+    until(async || metric_value(&gateway, "peers_heard").await == 1.0).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert_that!(figure(&gateway, "peer_garbage_total").await, eq(0.0));
+    assert_that!(metric_value(&gateway, "peer_garbage_total").await, eq(0.0));
 }
--- a/crates/gateway/tests/gateway/calls.rs
+++ b/crates/gateway/tests/gateway/calls.rs
@@ -21,7 +21,7 @@
 
 #[tokio::test]
 async fn call_reaches_the_endpoint_unchanged() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let body = vec![b'x'; 100_000];
     let call = Call::post("/unsafe/a%20b/c?q=1&r=%2F", &body)
         .id("r-1")
@@ -29,7 +29,7 @@
         .header("deadline", "900");
     let received = gateway.call(call).await;
     assert_that!(received.status, eq(200));
-    let seen = gateway.endpoints[0].seen();
+    let seen = gateway.endpoints[0].requests();
     let line = seen[0].head.lines().next();
     assert_that!(line, some(eq("POST /unsafe/a%20b/c?q=1&r=%2F HTTP/1.1")));
     assert_that!(seen[0].body, eq(&body));
@@ -45,17 +45,17 @@
 
 #[tokio::test]
 async fn call_with_a_body_in_chunks_arrives_whole() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let request = b"POST /unsafe/ HTTP/1.1\r\nhost: a.example\r\nid: r-1\r\nkey: key-1\r\n\
         transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
     let received = raw(&gateway, request).await;
     assert_that!(received.status, eq(200));
-    assert_that!(gateway.endpoints[0].seen()[0].body, eq(b"abcde"));
+    assert_that!(gateway.endpoints[0].requests()[0].body, eq(b"abcde"));
 }
 
 #[tokio::test]
 async fn call_that_no_rule_allows_is_refused() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let cases = [
         ("unknown path", Call::get("/nowhere/"), 404),
         (
@@ -75,12 +75,12 @@
         assert_that!(received.status, eq(status), "{name}");
         assert_that!(received.header("id"), some(eq("r-1")), "{name}");
     }
-    assert_that!(gateway.runs_of("r-1"), eq(0));
+    assert_that!(gateway.run_count("r-1"), eq(0));
 }
 
 #[tokio::test]
 async fn call_is_refused_while_nothing_is_known() {
-    let gateway = TestGateway::with(TestSource::default(), "host-1", Vec::new()).await;
+    let gateway = TestGateway::start(TestSource::default(), "host-1", Vec::new()).await;
     let received = gateway.call(Call::get("/safe/").id("r-1")).await;
     assert_that!(received.status, eq(503));
     assert_that!(received.header("come-back"), some(anything()));
@@ -93,11 +93,11 @@
 async fn call_waits_for_a_host_that_starts() {
     let source = TestSource::default();
     source.set_rules(rules(1));
-    source.set_slow(100);
+    source.set_answer_delay_ms(100);
     let endpoint =
         ScriptedEndpoint::start("endpoint-0", "pool", Behaviour::Answer, Script::default()).await;
     source.list(endpoint.endpoint.clone());
-    let gateway = TestGateway::with(source, "host-1", Vec::new()).await;
+    let gateway = TestGateway::start(source, "host-1", Vec::new()).await;
     assert_that!(gateway.ready_status().await, eq(503));
     let received = gateway.call(Call::get("/safe/").id("r-1")).await;
     assert_that!(received.status, eq(200));
@@ -105,14 +105,14 @@
 
 #[tokio::test]
 async fn call_is_refused_while_its_pool_is_empty() {
-    let gateway = TestGateway::before(0, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(0, Behaviour::Answer).await;
     let received = gateway.call(Call::get("/safe/").id("r-1")).await;
     assert_that!(received.status, eq(503));
 }
 
 #[tokio::test]
 async fn call_is_given_up_at_its_deadline() {
-    let gateway = TestGateway::before(1, Behaviour::Silent).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Silent).await;
     let call = Call::post("/once/", b"x")
         .id("r-1")
         .header("deadline", "200");
@@ -121,7 +121,7 @@
 
 #[tokio::test]
 async fn call_with_bad_bytes_is_never_passed_on() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let long_header = format!(
         "GET /safe/ HTTP/1.1\r\nhost: a.example\r\nid: r-1\r\nkey: key-1\r\nx: {}\r\n\r\n",
         "y".repeat(200_000)
@@ -163,19 +163,19 @@
             "{name}: {received:?}"
         );
     }
-    assert_that!(gateway.endpoints[0].seen(), is_empty());
+    assert_that!(gateway.endpoints[0].requests(), is_empty());
     let received = gateway.call(Call::get("/safe/").id("r-2")).await;
     assert_that!(received.status, eq(200));
 }
 
 #[tokio::test]
 async fn call_with_length_and_chunks_is_not_smuggled() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let request = b"POST /unsafe/ HTTP/1.1\r\nhost: a.example\r\nid: r-1\r\nkey: key-1\r\n\
         content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n\
         GET /safe/ HTTP/1.1\r\nhost: a.example\r\nid: r-2\r\nkey: key-1\r\n\r\n";
     raw(&gateway, request).await;
-    for seen in gateway.endpoints[0].seen() {
+    for seen in gateway.endpoints[0].requests() {
         assert_that!(seen.header("content-length"), any![none(), some(eq("0"))]);
         assert_that!(seen.header("transfer-encoding"), none());
     }
@@ -190,7 +190,7 @@
         ..CallerLimits::default()
     };
     source.set_rules(small);
-    let gateway = TestGateway::with(source, "host-1", Vec::new()).await;
+    let gateway = TestGateway::start(source, "host-1", Vec::new()).await;
     gateway.ready().await;
     let large = Call::post("/unsafe/", b"eleven byte").id("r-1");
     assert_that!(gateway.call(large).await.status, eq(413));
@@ -201,7 +201,7 @@
 
 #[tokio::test]
 async fn rules_come_into_force_and_never_revert() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let mut newer = rules(5);
     newer.routes.retain(|route| &*route.name != "safe");
     gateway.source.set_rules(newer);
@@ -209,7 +209,7 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     gateway.source.set_rules(rules(4));
-    until(async || gateway.source.are_rules_taken()).await;
+    until(async || gateway.source.are_rules_fetched()).await;
     assert_that!(
         gateway.call(Call::get("/safe/").id("r")).await.status,
         eq(404)
@@ -239,7 +239,7 @@
 
 #[tokio::test]
 async fn endpoint_that_leaves_gets_no_new_work() {
-    let gateway = TestGateway::before(2, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let leaving = &gateway.endpoints[0];
     gateway.source.list(leaving.leaving());
     let is_known = async || {
@@ -252,18 +252,18 @@
     while !is_known().await {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    let before = leaving.seen().len();
+    let before = leaving.requests().len();
     for i in 0..40 {
         gateway
             .call(Call::get("/safe/").id(&format!("r-{i}")))
             .await;
     }
-    assert_that!(leaving.seen().len(), eq(before));
+    assert_that!(leaving.requests().len(), eq(before));
 }
 
 #[tokio::test]
 async fn endpoint_that_is_unlisted_gets_no_work_until_it_is_listed_again() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let endpoint = &gateway.endpoints[0];
     gateway.source.unlist(&endpoint.endpoint.name);
     while gateway.call(Call::get("/safe/").id("r-1")).await.status != 503 {
@@ -279,7 +279,7 @@
 /// long between requests.
 #[tokio::test]
 async fn call_with_a_slow_head_loses_its_connection() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let mut slow = rules(2);
     slow.limits.head_timeout_ms = 100;
     gateway.source.set_rules(slow);
@@ -325,11 +325,11 @@
     let endpoint =
         ScriptedEndpoint::start("endpoint-0", "pool", Behaviour::Silent, Script::default()).await;
     source.list(endpoint.endpoint.clone());
-    let gateway = TestGateway::with_room(source, ROOM_BYTES).await;
+    let gateway = TestGateway::with_max_body_bytes(source, ROOM_BYTES).await;
     gateway.ready().await;
     let address = gateway.running.front_address();
     let large = |id: &str| Call::post("/patient/", &vec![b'x'; LARGE_BYTES]).id(id);
-    let arrives = async |id: &str| until(async || endpoint.runs_of(id) == 1).await;
+    let arrives = async |id: &str| until(async || endpoint.run_count(id) == 1).await;
     let held = [
         large("r-1").send(address).await,
         large("r-2").send(address).await,
@@ -339,14 +339,14 @@
     let beyond = Call::post("/unsafe/", &vec![b'x'; LARGE_BYTES]).id("r-3");
     let refused = gateway.call(beyond).await;
     assert_that!(refused.status, eq(503));
-    assert_that!(endpoint.runs_of("r-3"), eq(0));
+    assert_that!(endpoint.run_count("r-3"), eq(0));
     let _small = Call::post("/patient/", b"x").id("r-4").send(address).await;
     arrives("r-4").await;
     drop(held);
     until(async || {
         let _sent = large("r-5").send(address).await;
         tokio::time::sleep(PAUSE).await;
-        endpoint.runs_of("r-5") > 0
+        endpoint.run_count("r-5") > 0
     })
     .await;
 }
@@ -354,7 +354,7 @@
 /// A body without an end is not read beyond the limit.
 #[tokio::test]
 async fn call_with_an_endless_body_is_cut_off() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let address = gateway.running.front_address();
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let mut head = String::from_utf8(Call::get("/safe/").id("r-1").bytes()).expect("text");
@@ -370,12 +370,12 @@
         written += chunk.len();
         assert_that!(written, le(LIMIT_BYTES + IN_FLIGHT_BYTES));
     }
-    assert_that!(gateway.runs_of("r-1"), eq(0));
+    assert_that!(gateway.run_count("r-1"), eq(0));
 }
 
 #[tokio::test]
 async fn call_with_an_endless_head_is_cut_off() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let address = gateway.running.front_address();
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream
@@ -398,7 +398,7 @@
     let endpoint =
         ScriptedEndpoint::start("endpoint", "pool", Behaviour::Answer, Script::default()).await;
     source.list(endpoint.endpoint.clone());
-    let gateway = TestGateway::with_places(source, 4).await;
+    let gateway = TestGateway::with_max_connections(source, 4).await;
     gateway.ready().await;
     let address = gateway.running.front_address();
     let mut resting = Vec::new();
@@ -417,7 +417,7 @@
 /// A caller that leaves before its request is whole asked for nothing.
 #[tokio::test]
 async fn call_whose_caller_leaves_in_it_is_never_passed_on() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let address = gateway.running.front_address();
     let whole = Call::post("/unsafe/", b"0123456789").id("r-1").bytes();
     for length in [1, 20, whole.len() - 10, whole.len() - 1] {
@@ -428,5 +428,5 @@
         let received = receive(&mut stream).await;
         assert_that!(received.status, any![eq(0), eq(400)], "{length}");
     }
-    assert_that!(gateway.runs_of("r-1"), eq(0));
+    assert_that!(gateway.run_count("r-1"), eq(0));
 }
--- a/crates/gateway/tests/gateway/crashes.rs
+++ b/crates/gateway/tests/gateway/crashes.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, CrashingEndpoint, DEADLY, TestGateway, TestSource, hosts_with, rules, until,
+    Behaviour, Call, CrashingEndpoint, POISON_BODY, TestGateway, TestSource, hosts_with_metric,
+    rules, until,
 };
 use googletest::prelude::*;
 
@@ -41,9 +42,11 @@
         }
     }
 
-    fn arrivals_of(&self, body: &[u8]) -> usize {
+    fn arrivals_with_body(&self, body: &[u8]) -> usize {
         let endpoints = self.endpoints.iter();
-        endpoints.map(|endpoint| endpoint.arrivals_of(body)).sum()
+        endpoints
+            .map(|endpoint| endpoint.arrivals_with_body(body))
+            .sum()
     }
 
     fn crashes(&self) -> usize {
@@ -55,7 +58,7 @@
     let mut hosts: Vec<TestGateway> = Vec::new();
     for i in 0..count {
         let seeds = hosts.iter().map(TestGateway::peer_address).collect();
-        let host = TestGateway::with(source.clone(), &format!("host-{i}"), seeds).await;
+        let host = TestGateway::start(source.clone(), &format!("host-{i}"), seeds).await;
         host.ready().await;
         hosts.push(host);
     }
@@ -73,10 +76,14 @@
         for number in 0..TRIES {
             let id = format!("r-{number}");
             let host = &fleet.hosts[number % fleet.hosts.len()];
-            host.call(Call::post(path, DEADLY).id(&id)).await;
+            host.call(Call::post(path, POISON_BODY).id(&id)).await;
             tokio::time::sleep(PAUSE).await;
         }
-        assert_that!(fleet.arrivals_of(DEADLY), le(MAX_CRASHES), "{path}");
+        assert_that!(
+            fleet.arrivals_with_body(POISON_BODY),
+            le(MAX_CRASHES),
+            "{path}"
+        );
         assert_that!(fleet.crashes(), le(MAX_CRASHES), "{path}");
         let call = Call::post(path, b"another").id("other");
         assert_that!(fleet.hosts[0].call(call).await.status, eq(200), "{path}");
@@ -86,7 +93,7 @@
 /// Sends a request to one host until endpoints have ended under it often enough.
 async fn poison(fleet: &CrashFleet) {
     for number in 0..2 {
-        let call = Call::post("/safe/", DEADLY).id(&format!("first-{number}"));
+        let call = Call::post("/safe/", POISON_BODY).id(&format!("first-{number}"));
         fleet.hosts[0].call(call).await;
     }
     assert_that!(fleet.crashes(), eq(MAX_CRASHES));
@@ -94,9 +101,11 @@
 
 /// Asks for the same once more. Returns the status; no endpoint may have had it.
 async fn refused_by(fleet: &CrashFleet, host: &TestGateway) -> u16 {
-    let before = fleet.arrivals_of(DEADLY);
-    let received = host.call(Call::post("/safe/", DEADLY).id("again")).await;
-    assert_that!(fleet.arrivals_of(DEADLY), eq(before));
+    let before = fleet.arrivals_with_body(POISON_BODY);
+    let received = host
+        .call(Call::post("/safe/", POISON_BODY).id("again"))
+        .await;
+    assert_that!(fleet.arrivals_with_body(POISON_BODY), eq(before));
     received.status
 }
 
@@ -105,7 +114,7 @@
     let fleet = CrashFleet::start(1, 6).await;
     poison(&fleet).await;
     let received = fleet.hosts[0]
-        .call(Call::post("/safe/", DEADLY).id("again"))
+        .call(Call::post("/safe/", POISON_BODY).id("again"))
         .await;
     assert_that!(received.status, eq(503));
     assert_that!(received.body, eq(b"poison-request"));
@@ -122,7 +131,7 @@
     let fleet = CrashFleet::start(1, 6).await;
     poison(&fleet).await;
     let seeds = vec![fleet.hosts[0].peer_address()];
-    let late = TestGateway::cut_off("late", seeds).await;
+    let late = TestGateway::without_store("late", seeds).await;
     late.ready().await;
     assert_that!(refused_by(&fleet, &late).await, eq(503));
 }
@@ -134,7 +143,7 @@
     poison(&fleet).await;
     let source = fleet.hosts[0].source.clone();
     until(async || source.poison_rows() == 1).await;
-    let next = TestGateway::with(source, "next", Vec::new()).await;
+    let next = TestGateway::start(source, "next", Vec::new()).await;
     next.ready().await;
     until(async || refused_by(&fleet, &next).await == 503).await;
 }
@@ -144,10 +153,10 @@
 async fn crashes_are_recorded_once_the_platform_is_back() {
     let fleet = CrashFleet::start(1, 6).await;
     let source = fleet.hosts[0].source.clone();
-    source.set_down(true);
+    source.set_unavailable(true);
     poison(&fleet).await;
     assert_that!(source.poison_rows(), eq(0));
-    source.set_down(false);
+    source.set_unavailable(false);
     until(async || source.poison_rows() == 1).await;
 }
 
@@ -161,7 +170,7 @@
     let call = Call::get("/safe/").id("before");
     assert_that!(host.call(call).await.status, eq(200));
     for number in 0..ENDS {
-        let deadly = [DEADLY, &[number as u8]].concat();
+        let deadly = [POISON_BODY, &[number as u8]].concat();
         let ends = host.call(Call::post("/once/", &deadly).id("ends"));
         let beside = (0..20).map(|i| {
             let call = Call::get("/safe/").id(&format!("beside-{number}-{i}"));
@@ -179,7 +188,7 @@
 /// Endpoints that live reset connections too.
 #[tokio::test]
 async fn crashes_are_not_seen_where_endpoints_live() {
-    let gateway = TestGateway::before(3, Behaviour::Reset).await;
+    let gateway = TestGateway::with_endpoints(3, Behaviour::Reset).await;
     for number in 0..4 {
         let call = Call::post("/safe/", b"x").id(&format!("r-{number}"));
         assert_that!(gateway.call(call).await.status, eq(502));
@@ -187,7 +196,7 @@
     gateway
         .endpoints
         .iter()
-        .for_each(|endpoint| endpoint.usually(Behaviour::Answer));
+        .for_each(|endpoint| endpoint.set_behaviour(Behaviour::Answer));
     let received = gateway.call(Call::post("/safe/", b"x").id("after")).await;
     assert_that!(received.status, eq(200));
 }
@@ -204,16 +213,17 @@
     for i in 0..COPIES {
         let name = format!("endpoint-{i}");
         let waits = STEP * i as u32;
-        endpoints.push(CrashingEndpoint::start_busy(&name, source.clone(), waits).await);
+        endpoints
+            .push(CrashingEndpoint::start_with_queue_delay(&name, source.clone(), waits).await);
     }
     let hosts = hosts_of(&source, 1).await;
     let fleet = CrashFleet { hosts, endpoints };
     let copies = (0..COPIES).map(|i| {
-        let call = Call::post("/once/", DEADLY).id(&format!("copy-{i}"));
+        let call = Call::post("/once/", POISON_BODY).id(&format!("copy-{i}"));
         fleet.hosts[0].call(call)
     });
     let received = futures::future::join_all(copies).await;
-    assert_that!(fleet.arrivals_of(DEADLY), eq(COPIES));
+    assert_that!(fleet.arrivals_with_body(POISON_BODY), eq(COPIES));
     // Each endpoint would have run its own by now.
     tokio::time::sleep(STEP * COPIES as u32).await;
     assert_that!(fleet.crashes(), eq(MAX_CRASHES));
@@ -232,7 +242,7 @@
     const SERIES: usize = 5;
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let endpoint = CrashingEndpoint::start_named("endpoint-0", source.clone()).await;
+    let endpoint = CrashingEndpoint::start_keeping_name("endpoint-0", source.clone()).await;
     let hosts = hosts_of(&source, 2).await;
     let serves = async |host: &TestGateway| {
         let call = Call::post("/safe/", b"x").id("serves");
@@ -240,21 +250,21 @@
     };
     for number in 0..SERIES {
         until(async || serves(&hosts[0]).await && serves(&hosts[1]).await).await;
-        source.set_down(number % 2 == 1);
-        let deadly = [DEADLY, &[number as u8]].concat();
+        source.set_unavailable(number % 2 == 1);
+        let deadly = [POISON_BODY, &[number as u8]].concat();
         let call = Call::post("/once/", &deadly).id(&format!("ends-{number}"));
         hosts[number % 2].call(call).await;
         assert_that!(endpoint.crashes(), eq(number + 1));
         tokio::time::sleep(Duration::from_millis(300)).await;
-        source.set_down(false);
+        source.set_unavailable(false);
     }
     until(async || serves(&hosts[0]).await && serves(&hosts[1]).await).await;
     for number in 0..SERIES {
         until(async || serves(&hosts[0]).await).await;
-        let call = Call::post("/once/", DEADLY).id(&format!("again-{number}"));
+        let call = Call::post("/once/", POISON_BODY).id(&format!("again-{number}"));
         hosts[0].call(call).await;
     }
-    assert_that!(endpoint.arrivals_of(DEADLY), eq(MAX_CRASHES));
+    assert_that!(endpoint.arrivals_with_body(POISON_BODY), eq(MAX_CRASHES));
 }
 
 /// In a large fleet hosts report to relays, and those of two zones hear each other
@@ -280,12 +290,13 @@
     for host in &hosts {
         host.ready().await;
     }
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= NEAR - 2).await;
+    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= NEAR - 2).await;
     for (number, host) in [3, 20, NEAR + 5].into_iter().enumerate() {
-        let call = Call::post("/once/", DEADLY).id(&format!("r-{number}"));
+        let call = Call::post("/once/", POISON_BODY).id(&format!("r-{number}"));
         assert_that!(hosts[host].call(call).await.status, eq(502));
     }
-    let all_know = until(async || hosts_with(&hosts, "poison_requests", 1.0).await == hosts.len());
+    let all_know =
+        until(async || hosts_with_metric(&hosts, "poison_requests", 1.0).await == hosts.len());
     let known = tokio::time::timeout(KNOWN_WITHIN, all_know).await;
     assert_that!(known.is_ok(), eq(true));
 }
--- a/crates/gateway/tests/gateway/endpoint_reports.rs
+++ b/crates/gateway/tests/gateway/endpoint_reports.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::support::{Behaviour, Call, TestGateway, figure, until};
+use crate::support::{Behaviour, Call, TestGateway, metric_value, until};
 use chalkrock_core::{Endpoint, Incarnation};
 use googletest::prelude::*;
 use tokio::time::Instant;
@@ -15,9 +15,9 @@
     ("/unsafe/", Behaviour::FailBusy),
     ("/safe/", Behaviour::Shed),
     ("/once/", Behaviour::Shed),
-    ("/safe/", Behaviour::OtherAnswer),
+    ("/safe/", Behaviour::MismatchedId),
     ("/safe/", Behaviour::Unsigned),
-    ("/safe/", Behaviour::CutBody),
+    ("/safe/", Behaviour::TruncatedBody),
     ("/safe/", Behaviour::Unframed),
     (
         "/stream/",
@@ -48,17 +48,17 @@
 async fn is_heeded_on_each_way(line: &str, metric: &str) {
     const ASKED: usize = 20;
     for (path, behaviour) in WAYS {
-        let gateway = TestGateway::before(2, Behaviour::Answer).await;
+        let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
         let speaker = &gateway.endpoints[0];
-        speaker.says(line);
-        speaker.usually(behaviour.clone());
+        speaker.set_report(line);
+        speaker.set_behaviour(behaviour.clone());
         until_sent(&gateway, path, 0).await;
         for _ in 0..ASKED {
             let received = gateway.call(Call::get("/safe/").id("r-2")).await;
             assert_that!(received.status, eq(200), "{behaviour:?} on {path}");
         }
         assert_that!(speaker.arrivals(), eq(1), "{behaviour:?} on {path}");
-        assert_that!(figure(&gateway, metric).await, eq(1.0));
+        assert_that!(metric_value(&gateway, metric).await, eq(1.0));
     }
 }
 
@@ -71,18 +71,18 @@
 /// otherwise is older.
 #[tokio::test]
 async fn endpoints_that_say_they_leave_are_sent_nothing_by_any_host() {
-    let first = TestGateway::before(2, Behaviour::Answer).await;
+    let first = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let seeds = vec![first.peer_address()];
-    let second = TestGateway::with(first.source.clone(), "host-2", seeds).await;
+    let second = TestGateway::start(first.source.clone(), "host-2", seeds).await;
     second.ready().await;
     let leaving = &first.endpoints[0];
-    leaving.says("leaving: 1");
+    leaving.set_report("leaving: 1");
     until_sent(&first, "/safe/", 0).await;
-    let is_told = async || figure(&second, "leaving_heard_from_peers_total").await == 1.0;
+    let is_told = async || metric_value(&second, "leaving_heard_from_peers_total").await == 1.0;
     until(is_told).await;
-    let version = figure(&second, "endpoints_version").await;
+    let version = metric_value(&second, "endpoints_version").await;
     first.source.list(leaving.endpoint.clone());
-    let knows_entry = async || figure(&second, "endpoints_version").await > version;
+    let knows_entry = async || metric_value(&second, "endpoints_version").await > version;
     until(knows_entry).await;
     for _ in 0..20 {
         let received = second.call(Call::get("/safe/").id("r-2")).await;
@@ -111,24 +111,24 @@
 async fn endpoints_that_all_ask_for_time_have_callers_come_back_then() {
     const ASKED_MS: u64 = 700;
     const AT_ONCE: Duration = Duration::from_millis(200);
-    let gateway = TestGateway::before(2, Behaviour::Shed).await;
+    let gateway = TestGateway::with_endpoints(2, Behaviour::Shed).await;
     for endpoint in &gateway.endpoints {
-        endpoint.says(&format!("back-off-ms: {ASKED_MS}"));
+        endpoint.set_report(&format!("back-off-ms: {ASKED_MS}"));
     }
     for _ in 0..2 {
         gateway.call(Call::post("/once/", b"x").id("r-1")).await;
     }
     for endpoint in &gateway.endpoints {
         assert_that!(endpoint.arrivals(), eq(1));
-        endpoint.usually(Behaviour::Answer);
-        endpoint.says_nothing();
+        endpoint.set_behaviour(Behaviour::Answer);
+        endpoint.clear_report();
     }
     let asked_at = Instant::now();
     let received = gateway.call(Call::post("/once/", b"x").id("r-2")).await;
     assert_that!(asked_at.elapsed(), lt(AT_ONCE));
     assert_that!(received.status, eq(503));
     assert_that!(received.body, eq(b"endpoints-back-off"));
-    assert_that!(gateway.runs_of("r-2"), eq(0));
+    assert_that!(gateway.run_count("r-2"), eq(0));
     let come_back_ms = received.header("come-back").map(str::parse);
     let come_back_ms: u64 = come_back_ms.expect("a time").expect("a number");
     assert_that!(come_back_ms, le(ASKED_MS * 6 / 5 + 300));
@@ -141,10 +141,10 @@
 /// only: its caller may come back at once, since the other has places free.
 #[tokio::test]
 async fn endpoints_that_ask_for_time_leave_callers_to_come_back_at_once() {
-    let gateway = TestGateway::before(2, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let busy = &gateway.endpoints[0];
-    busy.usually(Behaviour::Shed);
-    busy.says("back-off-ms: 60000");
+    busy.set_behaviour(Behaviour::Shed);
+    busy.set_report("back-off-ms: 60000");
     loop {
         let received = gateway.call(Call::post("/once/", b"x").id("r-1")).await;
         if received.status == 503 {
@@ -160,9 +160,9 @@
 /// again nor a sound answer to an earlier request ends it, but another start does.
 #[tokio::test]
 async fn endpoints_that_ask_for_time_get_it_until_they_start_again() {
-    let gateway = TestGateway::before(2, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let busy = &gateway.endpoints[0];
-    busy.usually(Behaviour::AnswerAfter(300));
+    busy.set_behaviour(Behaviour::AnswerAfter(300));
     let ask = async |id: &str| gateway.call(Call::get("/safe/").id(id)).await;
     let earlier = async {
         while busy.arrivals() == 0 {
@@ -171,19 +171,19 @@
     };
     let turned_away = async {
         until(async || busy.arrivals() > 0).await;
-        busy.says("back-off-ms: 60000");
-        busy.usually(Behaviour::Shed);
+        busy.set_report("back-off-ms: 60000");
+        busy.set_behaviour(Behaviour::Shed);
         while busy.arrivals() == 1 {
             ask("r-2").await;
         }
-        busy.says_nothing();
+        busy.clear_report();
     };
     tokio::join!(earlier, turned_away);
-    let version = figure(&gateway, "endpoints_version").await;
+    let version = metric_value(&gateway, "endpoints_version").await;
     gateway.source.unlist(&busy.endpoint.name);
     gateway.source.list(busy.endpoint.clone());
-    until(async || figure(&gateway, "endpoints_version").await >= version + 2.0).await;
-    busy.usually(Behaviour::Answer);
+    until(async || metric_value(&gateway, "endpoints_version").await >= version + 2.0).await;
+    busy.set_behaviour(Behaviour::Answer);
     for _ in 0..20 {
         assert_that!(ask("r-3").await.status, eq(200));
     }
@@ -202,23 +202,26 @@
 /// What an endpoint wants of one host it does not want of another, which finds out itself.
 #[tokio::test]
 async fn endpoints_that_ask_one_host_for_time_are_used_by_others() {
-    let first = TestGateway::before(2, Behaviour::Answer).await;
+    let first = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let seeds = vec![first.peer_address()];
-    let second = TestGateway::with(first.source.clone(), "host-2", seeds).await;
+    let second = TestGateway::start(first.source.clone(), "host-2", seeds).await;
     second.ready().await;
     let busy = &first.endpoints[0];
-    busy.usually(Behaviour::Shed);
-    busy.says("back-off-ms: 60000");
+    busy.set_behaviour(Behaviour::Shed);
+    busy.set_report("back-off-ms: 60000");
     until_sent(&first, "/safe/", 0).await;
-    busy.usually(Behaviour::Answer);
-    busy.says_nothing();
+    busy.set_behaviour(Behaviour::Answer);
+    busy.clear_report();
     until(async || {
         second.call(Call::get("/safe/").id("r-2")).await;
         busy.arrivals() > 1
     })
     .await;
-    assert_that!(figure(&first, "endpoints_backing_off").await, eq(1.0));
-    assert_that!(figure(&second, "endpoints_backing_off").await, eq(0.0));
+    assert_that!(metric_value(&first, "endpoints_backing_off").await, eq(1.0));
+    assert_that!(
+        metric_value(&second, "endpoints_backing_off").await,
+        eq(0.0)
+    );
 }
 
 /// Two of six endpoints turn all requests away for two seconds and ask for a second each
@@ -235,13 +238,13 @@
     const SPAN: Duration = Duration::from_millis(2_000);
     /// From each host to each of the two, in each time that was asked for.
     const ARRIVALS_MAX: usize = 2 * HOSTS * BUSY * (SPAN.as_millis() as usize).div_ceil(1_000);
-    let first = TestGateway::before(ENDPOINTS, Behaviour::AnswerAfter(20)).await;
+    let first = TestGateway::with_endpoints(ENDPOINTS, Behaviour::AnswerAfter(20)).await;
     let seeds = vec![first.peer_address()];
-    let second = TestGateway::with(first.source.clone(), "host-2", seeds).await;
+    let second = TestGateway::start(first.source.clone(), "host-2", seeds).await;
     second.ready().await;
     for endpoint in &first.endpoints[..BUSY] {
-        endpoint.usually(Behaviour::Shed);
-        endpoint.says(&format!("back-off-ms: {ASKED_MS}"));
+        endpoint.set_behaviour(Behaviour::Shed);
+        endpoint.set_report(&format!("back-off-ms: {ASKED_MS}"));
     }
     let ends_at = Instant::now() + SPAN;
     let ask_all = async |host: &TestGateway| {
@@ -250,7 +253,7 @@
         while Instant::now() < ends_at {
             let path = ["/once/", "/safe/"][answers.len() % 2];
             let call = Call::post(path, b"x").id("r-1");
-            answers.push(tokio::spawn(async move { call.to(address).await }));
+            answers.push(tokio::spawn(async move { call.exchange(address).await }));
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let mut refused = 0;
--- a/crates/gateway/tests/gateway/eras.rs
+++ b/crates/gateway/tests/gateway/eras.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, figure, rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric_value, rules, until,
 };
 use googletest::prelude::*;
 
@@ -31,10 +31,10 @@
             source.list(endpoint.endpoint.clone());
             endpoints.push(endpoint);
         }
-        let first = TestGateway::with(source.clone(), "host-1", Vec::new()).await;
+        let first = TestGateway::start(source.clone(), "host-1", Vec::new()).await;
         first.ready().await;
         // The second never hears the store: it goes by what the first tells it.
-        let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+        let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
         second.ready().await;
         Self {
             source,
@@ -45,7 +45,7 @@
 
     async fn live(&self, count: usize) {
         for host in &self.hosts {
-            until(async || figure(host, "endpoints_live").await == count as f64).await;
+            until(async || metric_value(host, "endpoints_live").await == count as f64).await;
         }
     }
 
@@ -67,13 +67,13 @@
 async fn endpoint_that_leaves_after_the_return_gets_nothing_more() {
     let fleet = EraFleet::start().await;
     fleet.live(2).await;
-    let copy = fleet.source.copy();
+    let copy = fleet.source.snapshot();
     // Many versions pass that are given out again.
     for _ in 0..50 {
         fleet.source.list(fleet.endpoints[0].endpoint.clone());
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    fleet.source.come_back(copy);
+    fleet.source.restore(copy);
     fleet.source.list(fleet.endpoints[0].leaving());
     fleet.live(1).await;
     assert_that!(fleet.reach(0, "after").await, eq(0));
@@ -84,10 +84,10 @@
 async fn hosts_follow_two_returns_in_a_row() {
     let fleet = EraFleet::start().await;
     fleet.live(2).await;
-    let copy = fleet.source.copy();
-    fleet.source.come_back(copy);
-    let copy = fleet.source.copy();
-    fleet.source.come_back(copy);
+    let copy = fleet.source.snapshot();
+    fleet.source.restore(copy);
+    let copy = fleet.source.snapshot();
+    fleet.source.restore(copy);
     fleet.source.list(fleet.endpoints[1].leaving());
     fleet.live(1).await;
     assert_that!(fleet.reach(1, "after").await, eq(0));
@@ -98,15 +98,15 @@
 async fn endpoint_that_the_copy_lacks_serves_until_it_is_listed_again() {
     let fleet = EraFleet::start().await;
     fleet.live(2).await;
-    let copy = fleet.source.copy();
+    let copy = fleet.source.snapshot();
     let script = Script::default();
     let late = ScriptedEndpoint::start("endpoint-2", "pool", Behaviour::Answer, script).await;
     fleet.source.list(late.endpoint.clone());
     fleet.live(3).await;
-    fleet.source.come_back(copy);
+    fleet.source.restore(copy);
     tokio::time::sleep(Duration::from_millis(800)).await;
     for host in &fleet.hosts {
-        assert_that!(figure(host, "endpoints_live").await, eq(3.0));
+        assert_that!(metric_value(host, "endpoints_live").await, eq(3.0));
     }
     fleet.source.list(late.endpoint.clone());
     // Past the time for which such entries are kept.
@@ -119,10 +119,10 @@
 async fn evacuation_that_the_copy_lacks_stays_in_force() {
     let fleet = EraFleet::start().await;
     fleet.live(2).await;
-    let copy = fleet.source.copy();
+    let copy = fleet.source.snapshot();
     fleet.source.evacuate("zone-a", true);
     fleet.live(0).await;
-    fleet.source.come_back(copy);
+    fleet.source.restore(copy);
     tokio::time::sleep(Duration::from_millis(800)).await;
     fleet.live(0).await;
     fleet.source.evacuate("zone-a", true);
--- a/crates/gateway/tests/gateway/evacuations.rs
+++ b/crates/gateway/tests/gateway/evacuations.rs
@@ -45,7 +45,7 @@
         let (b, entry_b) = endpoint_in(ZONE_B, Behaviour::Answer).await;
         source.list(entry_a);
         source.list(entry_b);
-        let gateway = TestGateway::with(source, "host-1", Vec::new()).await;
+        let gateway = TestGateway::start(source, "host-1", Vec::new()).await;
         gateway.ready().await;
         Self { gateway, a, b }
     }
@@ -109,10 +109,10 @@
     let (_b, entry_b) = endpoint_in(ZONE_B, Behaviour::Answer).await;
     source.list(entry_a);
     source.list(entry_b);
-    let first = TestGateway::with(source, "host-1", Vec::new()).await;
+    let first = TestGateway::start(source, "host-1", Vec::new()).await;
     first.ready().await;
     // It learns all from the first, and its platform never answers it.
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
     for gateway in [&first, &second] {
         for i in 0..10 {
@@ -131,7 +131,7 @@
     source.set_rules(rules(1));
     let (a, entry) = endpoint_in(ZONE_A, Behaviour::AnswerAfter(300)).await;
     source.list(entry);
-    let gateway = TestGateway::with(source, "host-1", Vec::new()).await;
+    let gateway = TestGateway::start(source, "host-1", Vec::new()).await;
     gateway.ready().await;
     let call = gateway.call(Call::post("/patient/", b"body").id("r-1"));
     let evacuated = async {
@@ -147,9 +147,9 @@
 async fn peers_pass_on_evacuations_and_that_they_end() {
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let first = TestGateway::with(source, "host-1", Vec::new()).await;
+    let first = TestGateway::start(source, "host-1", Vec::new()).await;
     first.ready().await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
     for is_evacuated in [true, false, true] {
         first.source.evacuate(ZONE_A, is_evacuated);
@@ -228,7 +228,7 @@
     let first = TestGateway::with_cold_bound(source, "host-1", Vec::new()).await;
     first.ready().await;
     let silent = TestSource::default();
-    silent.set_down(true);
+    silent.set_unavailable(true);
     let seeds = vec![first.peer_address()];
     let second = TestGateway::with_cold_bound(silent, "host-2", seeds).await;
     second.ready().await;
@@ -240,13 +240,13 @@
 /// time: each is tried once by a host, and not by each request.
 #[tokio::test]
 async fn endpoint_that_is_another_is_tried_once() {
-    let gateway = TestGateway::before(4, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(4, Behaviour::Answer).await;
     let others = [
-        Behaviour::OtherEndpoint,
-        Behaviour::OtherEndpoint,
-        Behaviour::OtherEndpoint,
+        Behaviour::Misdirected,
+        Behaviour::Misdirected,
+        Behaviour::Misdirected,
     ];
-    gateway.script.next(others);
+    gateway.script.push(others);
     serves(&gateway, 10, "r").await;
     let arrivals = gateway.endpoints.iter().map(ScriptedEndpoint::arrivals);
     assert_that!(arrivals.sum::<usize>(), eq(13));
@@ -259,13 +259,13 @@
 async fn peers_pass_on_that_an_endpoint_is_another() {
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let (gone, entry_a) = endpoint_in(ZONE_A, Behaviour::OtherEndpoint).await;
+    let (gone, entry_a) = endpoint_in(ZONE_A, Behaviour::Misdirected).await;
     let (_there, entry_b) = endpoint_in(ZONE_B, Behaviour::Answer).await;
     source.list(entry_a);
     source.list(entry_b);
-    let first = TestGateway::with(source, "host-1", Vec::new()).await;
+    let first = TestGateway::start(source, "host-1", Vec::new()).await;
     first.ready().await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
     until(async || {
         first.call(Call::get("/safe/").id("r-1")).await;
--- a/crates/gateway/tests/gateway/large_rules.rs
+++ b/crates/gateway/tests/gateway/large_rules.rs
@@ -17,8 +17,8 @@
 use chalkrock_core::{Endpoint, HostState};
 
 use crate::support::{
-    Behaviour, Script, ScriptedEndpoint, SlowLink, TestGateway, TestSource, figure, rules,
-    rules_of, until,
+    Behaviour, Script, ScriptedEndpoint, SlowLink, TestGateway, TestSource, metric_value, rules,
+    rules_with_routes, until,
 };
 use googletest::prelude::*;
 use tokio::time::{sleep, timeout};
@@ -38,7 +38,7 @@
     source.set_rules_transfer_ms(1_200);
     let host = TestGateway::with_follow_bound(source.clone(), "host-1", Vec::new(), BOUND_MS).await;
     sleep(Duration::from_millis(BOUND_MS)).await;
-    assert_that!(host.knows_rules(1).await, eq(true));
+    assert_that!(host.has_rules(1).await, eq(true));
     assert_that!(source.rules_transfers(), eq(1));
 }
 
@@ -49,10 +49,10 @@
     const FIRST_BYTES: usize = 40_000;
     /// Less than a pull may take in all.
     const SOON: Duration = Duration::from_secs(8);
-    let first = TestGateway::serving(rules_of(1, ROUTES)).await;
+    let first = TestGateway::with_rules(rules_with_routes(1, ROUTES)).await;
     let address = first.peer_address();
-    let link = SlowLink::silent_at_first(address, 150_000, FIRST_BYTES).await;
-    let second = TestGateway::cut_off("host-2", vec![link.address()]).await;
+    let link = SlowLink::stalling_first_connection(address, 150_000, FIRST_BYTES).await;
+    let second = TestGateway::without_store("host-2", vec![link.address()]).await;
     assert_that!(timeout(SOON, second.ready()).await.is_ok(), eq(true));
     assert_that!(link.large_answers(), eq(2));
 }
@@ -63,26 +63,26 @@
 async fn is_passed_on_to_few_hosts_at_once(source: TestSource) {
     const AT_ONCE: usize = 2;
     const HOSTS: usize = 8;
-    let first = TestGateway::with_uploads(source, AT_ONCE).await;
+    let first = TestGateway::with_max_uploads(source, AT_ONCE).await;
     first.ready().await;
     let address = first.peer_address();
     let link = SlowLink::to(address, 150_000).await;
     let mut others = Vec::new();
     for i in 0..HOSTS {
         let seeds = vec![link.address()];
-        others.push(TestGateway::cut_off(&format!("host-{i}"), seeds).await);
+        others.push(TestGateway::without_store(&format!("host-{i}"), seeds).await);
     }
     for other in &others {
         assert_that!(timeout(LONG, other.ready()).await.is_ok(), eq(true));
     }
-    assert_that!(link.large_answers_at_once(), le(AT_ONCE));
+    assert_that!(link.max_concurrent_large_answers(), le(AT_ONCE));
     assert_that!(link.large_answers(), le(HOSTS - 2));
 }
 
 #[tokio::test(start_paused = true)]
 async fn large_rules_are_passed_on_to_few_hosts_at_once() {
     let source = TestSource::default();
-    source.set_rules(rules_of(1, ROUTES));
+    source.set_rules(rules_with_routes(1, ROUTES));
     is_passed_on_to_few_hosts_at_once(source).await;
 }
 
@@ -108,17 +108,17 @@
 #[tokio::test]
 async fn large_rules_cost_a_host_what_they_change() {
     const CHANGE_MAX_BYTES: u64 = 4_000;
-    let first = TestGateway::serving(rules_of(1, ROUTES)).await;
+    let first = TestGateway::with_rules(rules_with_routes(1, ROUTES)).await;
     let seed = first.peer_address();
-    let second = TestGateway::cut_off("host-2", vec![seed]).await;
+    let second = TestGateway::without_store("host-2", vec![seed]).await;
     second.ready().await;
     let before = pulled_bytes(&second).await;
     assert_that!(before, gt(100_000));
     for version in 2..=4 {
         first
             .source
-            .set_rules(rules_of(version, ROUTES + version as usize));
-        until(async || second.knows_rules(version).await).await;
+            .set_rules(rules_with_routes(version, ROUTES + version as usize));
+        until(async || second.has_rules(version).await).await;
     }
     let pulled = pulled_bytes(&second).await - before;
     assert_that!(pulled, lt(3 * CHANGE_MAX_BYTES));
@@ -136,10 +136,10 @@
 /// is waited for.
 #[tokio::test(start_paused = true)]
 async fn large_rules_are_taken_from_a_host_over_a_slow_link() {
-    let first = TestGateway::serving(rules_of(1, ROUTES)).await;
+    let first = TestGateway::with_rules(rules_with_routes(1, ROUTES)).await;
     let address = first.peer_address();
     let link = SlowLink::to(address, 150_000).await;
-    let second = TestGateway::cut_off("host-2", vec![link.address()]).await;
+    let second = TestGateway::without_store("host-2", vec![link.address()]).await;
     let is_ready = timeout(LONG, second.ready()).await.is_ok();
     assert_that!(is_ready, eq(true));
 }
@@ -160,11 +160,11 @@
         ..some.endpoint.clone()
     };
     (0..ENDPOINTS).for_each(|i| source.list(entry(i)));
-    let first = TestGateway::with(source.clone(), "host-1", Vec::new()).await;
+    let first = TestGateway::start(source.clone(), "host-1", Vec::new()).await;
     first.ready().await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
-    let pulled = async || figure(&second, "peer_pulled_bytes_total").await;
+    let pulled = async || metric_value(&second, "peer_pulled_bytes_total").await;
     let whole_bytes = pulled().await;
     for i in 0..CHANGES {
         source.list(Endpoint {
@@ -173,9 +173,9 @@
         });
     }
     let left = (ENDPOINTS - CHANGES) as f64;
-    until(async || figure(&second, "endpoints_live").await == left).await;
+    until(async || metric_value(&second, "endpoints_live").await == left).await;
     until(async || {
-        let versions = [&first, &second].map(|host| figure(host, "endpoints_version"));
+        let versions = [&first, &second].map(|host| metric_value(host, "endpoints_version"));
         let [first, second] = versions;
         first.await == second.await
     })
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway before scripted endpoints, over loopback.
+//! Tests of the gateway with scripted endpoints, over loopback.
 
 mod attempts;
 mod builds;
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, figure, hosts_with, rules,
-    until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, hosts_with_metric,
+    metric_value, rules, until,
 };
 use chalkrock_core::{Endpoint, HostState};
 use googletest::prelude::*;
@@ -15,8 +15,8 @@
 
 /// Two hosts with platforms of their own, so that one may be cut off alone.
 async fn two_hosts() -> (TestGateway, TestGateway) {
-    let first = TestGateway::serving(rules(1)).await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let first = TestGateway::with_rules(rules(1)).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     (first, second)
 }
 
@@ -34,7 +34,7 @@
 async fn peers_start_a_host_that_asks_the_platform_nothing() {
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let first = TestGateway::with(source, "host-1", Vec::new()).await;
+    let first = TestGateway::start(source, "host-1", Vec::new()).await;
     first.ready().await;
     let seed = first.peer_address();
     let endpoint =
@@ -43,7 +43,7 @@
     until(async || first.call(Call::get("/safe/").id("r-1")).await.status == 200).await;
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let second = TestGateway::with(source, "host-2", vec![seed]).await;
+    let second = TestGateway::start(source, "host-2", vec![seed]).await;
     second.ready().await;
     assert_that!(
         second.call(Call::get("/safe/").id("r-2")).await.status,
@@ -60,15 +60,16 @@
     const HOSTS: usize = 24;
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let first = TestGateway::with(source.clone(), "host-0", Vec::new()).await;
+    let first = TestGateway::start(source.clone(), "host-0", Vec::new()).await;
     first.ready().await;
     let seed = first.peer_address();
     let mut hosts = vec![first];
     for i in 1..HOSTS {
         let host = format!("host-{i}");
-        hosts.push(TestGateway::with(source.clone(), &host, vec![seed]).await);
+        hosts.push(TestGateway::start(source.clone(), &host, vec![seed]).await);
     }
-    until(async || hosts_with(&hosts, "peers_heard", (HOSTS - 1) as f64).await == HOSTS).await;
+    until(async || hosts_with_metric(&hosts, "peers_heard", (HOSTS - 1) as f64).await == HOSTS)
+        .await;
     for host in &hosts {
         host.ready().await;
     }
@@ -88,7 +89,7 @@
     let held: Vec<_> = (0..HELD).map(hold).collect();
     for i in 0..STARTS {
         let source = TestSource::default();
-        let host = TestGateway::with(source, &format!("host-{i}"), Vec::new()).await;
+        let host = TestGateway::start(source, &format!("host-{i}"), Vec::new()).await;
         let own = host.peer_address();
         let is_held =
             |socket: &std::net::UdpSocket| socket.local_addr().expect("an address") == own;
@@ -111,8 +112,8 @@
     let (first, second) = two_hosts().await;
     let mut endpoints = Vec::new();
     for name in ["endpoint-0", "endpoint-1"] {
-        let usual = Behaviour::Answer;
-        let endpoint = ScriptedEndpoint::start(name, "pool", usual, Script::default()).await;
+        let behaviour = Behaviour::Answer;
+        let endpoint = ScriptedEndpoint::start(name, "pool", behaviour, Script::default()).await;
         first.source.list(endpoint.endpoint.clone());
         endpoints.push(endpoint);
     }
@@ -126,7 +127,7 @@
         number += 1;
         let id = format!("n-{number}");
         second.call(Call::get("/safe/").id(&id)).await;
-        to_other = if endpoints[1].runs_of(&id) == 1 {
+        to_other = if endpoints[1].run_count(&id) == 1 {
             to_other + 1
         } else {
             0
@@ -157,11 +158,11 @@
     for i in 0..running {
         let address = first.running.front_address();
         let id = format!("r-{i}");
-        tokio::spawn(async move { Call::get("/safe/").id(&id).to(address).await });
+        tokio::spawn(async move { Call::get("/safe/").id(&id).exchange(address).await });
     }
-    let arrived = || endpoints.iter().map(|e| e.seen().len()).sum::<usize>();
+    let arrived = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     until(async || arrived() == running).await;
-    let on_each: Vec<usize> = endpoints.iter().map(|e| e.seen().len()).collect();
+    let on_each: Vec<usize> = endpoints.iter().map(|e| e.requests().len()).collect();
     assert_that!(on_each, each(eq(&3)));
 }
 
@@ -169,8 +170,8 @@
 async fn two_endpoints(source: &TestSource, answer_ms: u64) -> Vec<ScriptedEndpoint> {
     let mut endpoints = Vec::new();
     for name in ["endpoint-0", "endpoint-1"] {
-        let usual = Behaviour::AnswerAfter(answer_ms);
-        let endpoint = ScriptedEndpoint::start(name, "pool", usual, Script::default()).await;
+        let behaviour = Behaviour::AnswerAfter(answer_ms);
+        let endpoint = ScriptedEndpoint::start(name, "pool", behaviour, Script::default()).await;
         source.list(endpoint.endpoint.clone());
         endpoints.push(endpoint);
     }
@@ -205,10 +206,10 @@
         until(async || host.metrics().await.contains(of_sums)).await;
     }
     let address = hosts[0].running.front_address();
-    tokio::spawn(async move { Call::get("/safe/").id("held").to(address).await });
-    let arrived = || endpoints.iter().map(|e| e.seen().len()).sum::<usize>();
+    tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
+    let arrived = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     until(async || arrived() == 1).await;
-    let busy = endpoints.iter().position(|e| e.seen().len() == 1);
+    let busy = endpoints.iter().position(|e| e.requests().len() == 1);
     // A host of the other zone knows of it, and prefers the idle endpoint.
     let far = hosts[1].running.front_address();
     until(async || {
@@ -218,10 +219,10 @@
             .contains("chalkrock_fleet_requests{} 1")
     })
     .await;
-    tokio::spawn(async move { Call::get("/safe/").id("next").to(far).await });
+    tokio::spawn(async move { Call::get("/safe/").id("next").exchange(far).await });
     until(async || arrived() == 2).await;
     let idle = &endpoints[1 - busy.expect("one is busy")];
-    assert_that!(idle.seen().len(), eq(1));
+    assert_that!(idle.requests().len(), eq(1));
 }
 
 #[tokio::test]
@@ -271,19 +272,22 @@
 async fn peers_of_a_large_zone_report_to_relays_and_know_the_fleet() {
     let hosts = large_zone().await;
     let endpoints = two_endpoints(&hosts[0].source, 60_000).await;
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS).await;
-    until(async || hosts_with(&hosts, "peers_heard", (LARGE_ZONE - 1) as f64).await == LARGE_ZONE)
+    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS)
         .await;
+    until(async || {
+        hosts_with_metric(&hosts, "peers_heard", (LARGE_ZONE - 1) as f64).await == LARGE_ZONE
+    })
+    .await;
     let address = hosts[0].running.front_address();
-    tokio::spawn(async move { Call::get("/safe/").id("held").to(address).await });
-    until(async || hosts_with(&hosts, "fleet_requests", 1.0).await == LARGE_ZONE).await;
-    let busy = endpoints.iter().position(|e| e.seen().len() == 1);
+    tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
+    until(async || hosts_with_metric(&hosts, "fleet_requests", 1.0).await == LARGE_ZONE).await;
+    let busy = endpoints.iter().position(|e| e.requests().len() == 1);
     let far = hosts[LARGE_ZONE - 1].running.front_address();
-    tokio::spawn(async move { Call::get("/safe/").id("next").to(far).await });
-    let arrived = || endpoints.iter().map(|e| e.seen().len()).sum::<usize>();
+    tokio::spawn(async move { Call::get("/safe/").id("next").exchange(far).await });
+    let arrived = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     until(async || arrived() == 2).await;
     let idle = &endpoints[1 - busy.expect("one is busy")];
-    assert_that!(idle.seen().len(), eq(1));
+    assert_that!(idle.requests().len(), eq(1));
 }
 
 /// Datagrams of one second: most hosts send a few, and relays fewer than all
@@ -292,9 +296,10 @@
 async fn peers_of_a_large_zone_send_few_datagrams() {
     const ROUNDS_A_SECOND: f64 = 5.0;
     let hosts = large_zone().await;
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS).await;
+    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS)
+        .await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let sent = async |host: &TestGateway| figure(host, "peer_datagrams_sent_total").await;
+    let sent = async |host: &TestGateway| metric_value(host, "peer_datagrams_sent_total").await;
     let mut before = Vec::new();
     for host in &hosts {
         before.push((sent(host).await, tokio::time::Instant::now()));
@@ -326,14 +331,14 @@
     let source = hosts[0].source.clone();
     hosts.push(TestGateway::in_zone("zone-b", source, "far", Vec::new()).await);
     let all = hosts.len();
-    until(async || hosts_with(&hosts, "peers_heard", (all - 1) as f64).await == all).await;
+    until(async || hosts_with_metric(&hosts, "peers_heard", (all - 1) as f64).await == all).await;
     let far = hosts[LARGE_ZONE].running.peer_address();
-    let cut_off = TestSource::default();
-    cut_off.set_down(true);
+    let without_store = TestSource::default();
+    without_store.set_unavailable(true);
     let seeds = vec![far.expect("it hears others")];
-    let newcomer = TestGateway::in_zone("zone-a", cut_off, "newcomer", seeds).await;
-    until(async || figure(&newcomer, "goes_by_relay_sums").await == 1.0).await;
-    until(async || figure(&newcomer, "peers_heard").await == all as f64).await;
+    let newcomer = TestGateway::in_zone("zone-a", without_store, "newcomer", seeds).await;
+    until(async || metric_value(&newcomer, "goes_by_relay_sums").await == 1.0).await;
+    until(async || metric_value(&newcomer, "peers_heard").await == all as f64).await;
 }
 
 #[tokio::test]
@@ -342,10 +347,11 @@
     for host in &hosts {
         host.ready().await;
     }
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS).await;
+    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS)
+        .await;
     let mut relays = Vec::new();
     for i in (0..hosts.len()).rev() {
-        if figure(&hosts[i], "goes_by_relay_sums").await == 0.0 {
+        if metric_value(&hosts[i], "goes_by_relay_sums").await == 0.0 {
             relays.push(hosts.remove(i));
         }
     }
@@ -354,12 +360,12 @@
         relay.running.ended().await;
     }
     let left = hosts.len();
-    until(async || hosts_with(&hosts, "peers_heard", (left - 1) as f64).await == left).await;
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= left - 2).await;
+    until(async || hosts_with_metric(&hosts, "peers_heard", (left - 1) as f64).await == left).await;
+    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= left - 2).await;
     let mut newer = rules(2);
     newer.routes.retain(|route| &*route.name != "safe");
     hosts[0].source.set_rules(newer);
-    until(async || hosts_with(&hosts, "rules_version", 2.0).await == left).await;
+    until(async || hosts_with_metric(&hosts, "rules_version", 2.0).await == left).await;
 }
 
 /// What is not from a host of the fleet changes nothing and harms nothing.
@@ -406,14 +412,14 @@
             ..some.endpoint.clone()
         });
     }
-    let first = TestGateway::with(source, "host-1", Vec::new()).await;
+    let first = TestGateway::start(source, "host-1", Vec::new()).await;
     first.ready().await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
-    until(async || figure(&second, "peers_heard").await == 1.0).await;
+    until(async || metric_value(&second, "peers_heard").await == 1.0).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     for host in [&first, &second] {
-        let largest = figure(host, "peer_datagram_largest_bytes").await;
+        let largest = metric_value(host, "peer_datagram_largest_bytes").await;
         assert_that!(largest, all!(gt(0.0), le(PACKET_BYTES)));
     }
 }
--- a/crates/gateway/tests/gateway/rollouts.rs
+++ b/crates/gateway/tests/gateway/rollouts.rs
@@ -34,12 +34,12 @@
     }
 }
 
-async fn endpoints(build: &str, count: usize, usual: Behaviour) -> Vec<ScriptedEndpoint> {
+async fn endpoints(build: &str, count: usize, behaviour: Behaviour) -> Vec<ScriptedEndpoint> {
     let mut started = Vec::new();
     for i in 0..count {
         let name = format!("{build}-{i}");
         let script = Script::default();
-        started.push(ScriptedEndpoint::start(&name, "pool", usual.clone(), script).await);
+        started.push(ScriptedEndpoint::start(&name, "pool", behaviour.clone(), script).await);
     }
     started
 }
@@ -58,8 +58,8 @@
         let mut hosts: Vec<TestGateway> = Vec::new();
         for i in 0..HOSTS {
             let seeds = hosts.iter().map(TestGateway::peer_address).collect();
-            let own = source.for_another();
-            let host = TestGateway::with(own, &format!("host-{i}"), seeds).await;
+            let own = source.handle_for_another_host();
+            let host = TestGateway::start(own, &format!("host-{i}"), seeds).await;
             host.ready().await;
             hosts.push(host);
         }
@@ -74,9 +74,9 @@
     }
 
     /// Orders the new build, whose endpoints start beside the old ones.
-    async fn order(&mut self, usual: Behaviour) {
-        self.source.order(NEW, WITHIN_MS);
-        self.new = endpoints(NEW, self.old.len(), usual).await;
+    async fn order(&mut self, behaviour: Behaviour) {
+        self.source.order_rollout(NEW, WITHIN_MS);
+        self.new = endpoints(NEW, self.old.len(), behaviour).await;
         for endpoint in &self.new {
             self.source.list(entry(endpoint, NEW));
         }
@@ -92,7 +92,7 @@
                 tokio::spawn(async move {
                     for number in 0.. {
                         let call = Call::get("/safe/").id(&format!("r-{at}-{number}"));
-                        tokio::spawn(async move { call.to(address).await });
+                        tokio::spawn(async move { call.exchange(address).await });
                         tokio::time::sleep(PAUSE).await;
                     }
                 })
@@ -188,7 +188,7 @@
     fleet.comes_to(RolloutStage::Moving).await;
     let moved_at = Instant::now();
     for endpoint in &fleet.new {
-        endpoint.usually(Behaviour::Fail);
+        endpoint.set_behaviour(Behaviour::Fail);
     }
     fleet.comes_to(RolloutStage::RolledBack).await;
     assert_that!(moved_at.elapsed(), le(Duration::from_millis(1_500)));
@@ -201,7 +201,7 @@
     let mut fleet = RolloutFleet::start().await;
     let load = fleet.load();
     for endpoint in &fleet.old {
-        endpoint.usually(Behaviour::AnswerAfter(20));
+        endpoint.set_behaviour(Behaviour::AnswerAfter(20));
     }
     fleet.order(Behaviour::AnswerAfter(20)).await;
     fleet.comes_to(RolloutStage::Canary).await;
@@ -209,14 +209,15 @@
     fleet
         .old
         .iter()
-        .for_each(|endpoint| endpoint.usually(Behaviour::AnswerAfter(7_000)));
+        .for_each(|endpoint| endpoint.set_behaviour(Behaviour::AnswerAfter(7_000)));
     let address = fleet.hosts[0].running.front_address();
-    let long = tokio::spawn(async move { Call::get("/patient/").id("long").to(address).await });
+    let long =
+        tokio::spawn(async move { Call::get("/patient/").id("long").exchange(address).await });
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet
         .old
         .iter()
-        .for_each(|endpoint| endpoint.usually(Behaviour::AnswerAfter(20)));
+        .for_each(|endpoint| endpoint.set_behaviour(Behaviour::AnswerAfter(20)));
     fleet.comes_to(RolloutStage::Done).await;
     assert_that!(
         long.is_finished(),
@@ -234,14 +235,14 @@
     const LONG_MS: u64 = 2_000;
     let mut fleet = RolloutFleet::start().await;
     // A route with long requests, which moves early; the other moves late.
-    let usually = |fleet: &RolloutFleet, ms| {
+    let set_behaviour = |fleet: &RolloutFleet, ms| {
         let endpoints = fleet.old.iter();
-        endpoints.for_each(|endpoint| endpoint.usually(Behaviour::AnswerAfter(ms)));
+        endpoints.for_each(|endpoint| endpoint.set_behaviour(Behaviour::AnswerAfter(ms)));
     };
-    usually(&fleet, LONG_MS);
+    set_behaviour(&fleet, LONG_MS);
     let long = Call::get("/patient/").id("long");
     fleet.hosts[0].call(long).await;
-    usually(&fleet, 20);
+    set_behaviour(&fleet, 20);
     let load = fleet.load();
     fleet.order(Behaviour::AnswerAfter(20)).await;
     fleet.comes_to(RolloutStage::Moving).await;
@@ -266,7 +267,7 @@
         let load = fleet.load();
         fleet.order(Behaviour::AnswerAfter(20)).await;
         fleet.comes_to(RolloutStage::Canary).await;
-        fleet.hosts[cut].source.cut();
+        fleet.hosts[cut].source.isolate();
         fleet.comes_to(RolloutStage::Done).await;
         let (old, _) = fleet.reached_meanwhile().await;
         assert_that!(old, eq(0), "host {cut} was told by the others");
@@ -280,9 +281,9 @@
     let load = fleet.load();
     fleet.order(Behaviour::Fail).await;
     fleet.comes_to(RolloutStage::Canary).await;
-    fleet.source.set_down(true);
+    fleet.source.set_unavailable(true);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    fleet.source.set_down(false);
+    fleet.source.set_unavailable(false);
     fleet.comes_to(RolloutStage::RolledBack).await;
     stop(load);
 }
@@ -296,8 +297,8 @@
     fleet.comes_to(RolloutStage::RolledBack).await;
     stop(load);
     let written = fleet.source.stages().len();
-    let source = fleet.source.for_another();
-    let anew = TestGateway::with(source, "host-anew", Vec::new()).await;
+    let source = fleet.source.handle_for_another_host();
+    let anew = TestGateway::start(source, "host-anew", Vec::new()).await;
     anew.ready().await;
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let before = fleet.new_arrivals();
@@ -319,7 +320,7 @@
     let load = fleet.load();
     fleet.order(Behaviour::AnswerAfter(20)).await;
     fleet.comes_to(RolloutStage::Canary).await;
-    fleet.source.withdraw();
+    fleet.source.withdraw_rollout();
     fleet.comes_to(RolloutStage::RolledBack).await;
     let reason = fleet.source.rollout().map(|record| record.reason);
     assert_that!(reason, some(eq(RolloutReason::Withdrawn)));
@@ -332,7 +333,7 @@
 async fn rollout_to_a_build_that_never_comes_is_rolled_back_at_its_deadline() {
     const SHORT_MS: u64 = 1_000;
     let fleet = RolloutFleet::start().await;
-    fleet.source.order(NEW, SHORT_MS);
+    fleet.source.order_rollout(NEW, SHORT_MS);
     fleet.comes_to(RolloutStage::RolledBack).await;
     let reason = fleet.source.rollout().map(|record| record.reason);
     assert_that!(reason, some(eq(RolloutReason::NoEndpoints)));
--- a/crates/gateway/tests/gateway/rows.rs
+++ b/crates/gateway/tests/gateway/rows.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, figure, rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric_value, rules, until,
 };
 use googletest::prelude::*;
 
@@ -22,13 +22,16 @@
 async fn rows_of_other_writers_keep_no_host_from_starting() {
     let source = TestSource::default();
     source.set_rules(rules(1));
-    source.spoil("foreign");
+    source.corrupt_endpoint("foreign");
     let endpoint = endpoint("endpoint-0", &source).await;
-    let gateway = TestGateway::with(source.clone(), "host-1", Vec::new()).await;
+    let gateway = TestGateway::start(source.clone(), "host-1", Vec::new()).await;
     gateway.ready().await;
     assert_that!(serves(&gateway).await, eq(true));
     assert_that!(endpoint.arrivals(), eq(1));
-    assert_that!(figure(&gateway, "rows_passed_over_total").await, ge(1.0));
+    assert_that!(
+        metric_value(&gateway, "rows_passed_over_total").await,
+        ge(1.0)
+    );
 }
 
 /// An endpoint whose row is overwritten is used no longer, by any host, also where
@@ -41,13 +44,13 @@
         endpoint("endpoint-0", &source).await,
         endpoint("endpoint-1", &source).await,
     ];
-    let first = TestGateway::with(source.clone(), "host-1", Vec::new()).await;
+    let first = TestGateway::start(source.clone(), "host-1", Vec::new()).await;
     first.ready().await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
-    source.spoil("endpoint-0");
+    source.corrupt_endpoint("endpoint-0");
     for gateway in [&first, &second] {
-        until(async || figure(gateway, "endpoints_live").await == 1.0).await;
+        until(async || metric_value(gateway, "endpoints_live").await == 1.0).await;
     }
     let before = endpoints[0].arrivals();
     for _ in 0..8 {
@@ -56,7 +59,7 @@
     assert_that!(endpoints[0].arrivals(), eq(before));
     source.list(endpoints[0].endpoint.clone());
     for gateway in [&first, &second] {
-        until(async || figure(gateway, "endpoints_live").await == 2.0).await;
+        until(async || metric_value(gateway, "endpoints_live").await == 2.0).await;
     }
 }
 
@@ -65,13 +68,13 @@
     let source = TestSource::default();
     source.set_rules(rules(1));
     let _endpoint = endpoint("endpoint-0", &source).await;
-    let gateway = TestGateway::with(source.clone(), "host-1", Vec::new()).await;
+    let gateway = TestGateway::start(source.clone(), "host-1", Vec::new()).await;
     gateway.ready().await;
-    source.spoil_rules();
-    until(async || figure(&gateway, "rows_passed_over_total").await >= 1.0).await;
+    source.corrupt_rules();
+    until(async || metric_value(&gateway, "rows_passed_over_total").await >= 1.0).await;
     assert_that!(serves(&gateway).await, eq(true));
     source.set_rules(rules(2));
-    let known = until(async || gateway.knows_rules(2).await);
+    let known = until(async || gateway.has_rules(2).await);
     let known = tokio::time::timeout(Duration::from_secs(5), known).await;
     assert_that!(known.is_ok(), eq(true));
 }
--- a/crates/gateway/tests/gateway/silences.rs
+++ b/crates/gateway/tests/gateway/silences.rs
@@ -44,7 +44,7 @@
     let ended_at = Instant::now();
     sleep_until(ended_at + Duration::from_millis(bound_ms)).await;
     for host in &hosts {
-        assert_that!(host.knows_rules(2).await, eq(true), "{case}");
+        assert_that!(host.has_rules(2).await, eq(true), "{case}");
     }
 }
 
@@ -116,21 +116,21 @@
     for answer_ms in [200, 800, 1_600] {
         let source = TestSource::default();
         source.set_rules(rules(1));
-        source.set_slow(answer_ms);
+        source.set_answer_delay_ms(answer_ms);
         let host =
             TestGateway::with_follow_bound(source.clone(), "host-1", Vec::new(), 1_500).await;
         sleep(Duration::from_secs(20)).await;
-        assert_that!(host.knows_rules(1).await, eq(true), "{answer_ms}");
+        assert_that!(host.has_rules(1).await, eq(true), "{answer_ms}");
         source.set_rules(rules(2));
         sleep(Duration::from_secs(20)).await;
-        assert_that!(host.knows_rules(2).await, eq(true), "{answer_ms}");
+        assert_that!(host.has_rules(2).await, eq(true), "{answer_ms}");
     }
 }
 
 /// What lapsed while the platform was away takes work until it should be back.
 #[tokio::test(start_paused = true)]
 async fn silence_in_which_entries_lapse_costs_no_request() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let endpoint = gateway.endpoints[0].endpoint.clone();
     let status = async |id: &str| gateway.call(Call::get("/safe/").id(id)).await.status;
     for round in ["back", "gone"] {
--- a/crates/gateway/tests/gateway/slow_readers.rs
+++ b/crates/gateway/tests/gateway/slow_readers.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, figure, receive, rules,
-    until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric_value, receive,
+    rules, until,
 };
 use chalkrock_routing::{CallerLimits, OrganisationRules, RulesDocument};
 use googletest::prelude::*;
@@ -69,16 +69,16 @@
     const ANSWER: usize = 3 * MB;
     const CALLERS: usize = 8;
     let (source, _endpoint) = source(Behaviour::Answer, 60_000).await;
-    let gateway = TestGateway::with_answer_room(source, ROOM).await;
+    let gateway = TestGateway::with_max_answer_bytes(source, ROOM).await;
     gateway.ready().await;
     let mut unread = Vec::new();
     for number in 0..CALLERS {
         let call = Call::post("/patient/", &vec![b'a'; ANSWER]).id(&format!("slow-{number}"));
         unread.push(send_unread(&gateway, &call).await);
     }
-    until(async || figure(&gateway, HELD).await > (3 * ANSWER / 2) as f64).await;
+    until(async || metric_value(&gateway, HELD).await > (3 * ANSWER / 2) as f64).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let held = figure(&gateway, HELD).await;
+    let held = metric_value(&gateway, HELD).await;
     assert_that!(held, le(0.8 * ROOM as f64), "a fifth is left to the others");
     // Another organisation's caller is not kept waiting.
     let quick = Call::post("/safe/", &vec![b'b'; ANSWER]).id("quick");
@@ -91,19 +91,19 @@
         assert_that!(answer.status, eq(200));
         assert_that!(answer.body.len(), eq(ANSWER));
     }
-    until(async || figure(&gateway, HELD).await == 0.0).await;
+    until(async || metric_value(&gateway, HELD).await == 0.0).await;
 }
 
 #[tokio::test]
 async fn caller_that_takes_nothing_loses_its_connection() {
     const IDLE_MS: u64 = 400;
     let (source, _endpoint) = source(Behaviour::Answer, IDLE_MS).await;
-    let gateway = TestGateway::with_answer_room(source, 16 * MB).await;
+    let gateway = TestGateway::with_max_answer_bytes(source, 16 * MB).await;
     gateway.ready().await;
     let call = Call::post("/safe/", &vec![b'a'; 3 * MB]).id("never-read");
     let _unread = send_unread(&gateway, &call).await;
-    until(async || figure(&gateway, HELD).await > 0.0).await;
-    until(async || figure(&gateway, HELD).await == 0.0).await;
+    until(async || metric_value(&gateway, HELD).await > 0.0).await;
+    until(async || metric_value(&gateway, HELD).await == 0.0).await;
 }
 
 /// An endpoint breaks off what stays unread. The stream comes whole and in order all the
@@ -111,20 +111,20 @@
 #[tokio::test]
 async fn stream_that_was_left_unread_comes_whole() {
     const LAST: u64 = 150_000;
-    let (source, first) = source(Behaviour::StreamUntilBroken { last: LAST }, 60_000).await;
-    let gateway = TestGateway::with(source, "host-1", Vec::new()).await;
+    let (source, first) = source(Behaviour::StreamUntilReset { last: LAST }, 60_000).await;
+    let gateway = TestGateway::start(source, "host-1", Vec::new()).await;
     gateway.ready().await;
     let call = Call::get("/resumable/").id("r-1");
     let mut stream = send_unread(&gateway, &call).await;
     until(async || first.arrivals() == 1).await;
-    let usual = Behaviour::Stream {
+    let behaviour = Behaviour::Stream {
         last: LAST,
         cut_at: None,
     };
-    let second = ScriptedEndpoint::start("endpoint-2", "pool", usual, Script::default()).await;
+    let second = ScriptedEndpoint::start("endpoint-2", "pool", behaviour, Script::default()).await;
     gateway.source.list(second.endpoint.clone());
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    first.break_off();
+    first.reset_streams();
     let events = events_of(&mut stream).await;
     let expected: Vec<u64> = (0..=LAST).collect();
     assert_that!(events == expected, eq(true), "{} events", events.len());
@@ -151,7 +151,7 @@
     const ROOM: usize = MB;
     const BODY: usize = 200 * 1024;
     let (source, _endpoint) = source(Behaviour::AnswerAfter(1_500), 60_000).await;
-    let gateway = TestGateway::with_room(source, ROOM).await;
+    let gateway = TestGateway::with_max_body_bytes(source, ROOM).await;
     gateway.ready().await;
     let address = gateway.running.front_address();
     let call = |name: &str, key: &str| {
@@ -163,7 +163,8 @@
         let call = call(&format!("held-{number}"), crate::support::KEY);
         held.push(call.send(address).await);
     }
-    until(async || figure(&gateway, "caller_bodies_held_bytes").await >= (4 * BODY) as f64).await;
+    until(async || metric_value(&gateway, "caller_bodies_held_bytes").await >= (4 * BODY) as f64)
+        .await;
     let fifth = gateway.call(call("fifth", crate::support::KEY)).await;
     assert_that!(
         fifth.status,
--- a/crates/gateway/tests/gateway/stops.rs
+++ b/crates/gateway/tests/gateway/stops.rs
@@ -7,10 +7,11 @@
 
 #[tokio::test]
 async fn stop_lets_what_runs_end() {
-    let gateway = TestGateway::before(1, Behaviour::AnswerAfter(1_200)).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::AnswerAfter(1_200)).await;
     let address = gateway.running.front_address();
-    let running = tokio::spawn(async move { Call::get("/safe/").id("r-1").to(address).await });
-    while gateway.runs_of("r-1") == 0 {
+    let running =
+        tokio::spawn(async move { Call::get("/safe/").id("r-1").exchange(address).await });
+    while gateway.run_count("r-1") == 0 {
         tokio::time::sleep(std::time::Duration::from_millis(1)).await;
     }
     gateway.stop.stop();
@@ -21,7 +22,7 @@
 
 #[tokio::test]
 async fn stop_is_told_at_once_to_the_entry_and_to_callers() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     gateway.stop.stop();
     while gateway.ready_status().await != 503 {
         tokio::task::yield_now().await;
@@ -33,11 +34,11 @@
 
 #[tokio::test]
 async fn stop_refuses_late_requests_and_sends_callers_elsewhere() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
-    gateway.endpoints[0].usually(Behaviour::Silent);
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
+    gateway.endpoints[0].set_behaviour(Behaviour::Silent);
     let address = gateway.running.front_address();
     // Something runs on, so that the host does not end before it refuses.
-    let _held = tokio::spawn(async move { Call::get("/safe/").id("held").to(address).await });
+    let _held = tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
     gateway.stop.stop();
     loop {
         let call = Call::get("/safe/").id("r-1").header("deadline", "50");
@@ -52,7 +53,7 @@
 
 #[tokio::test]
 async fn stop_closes_connections_that_rest() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let address = gateway.running.front_address();
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let call = Call::get("/safe/").id("r-1").bytes();
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -34,86 +34,86 @@
 #[tokio::test]
 async fn stream_is_passed_on_whole_and_unchanged() {
     for path in ["/stream/", "/resumable/"] {
-        let gateway = TestGateway::before(2, whole_stream()).await;
+        let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
         let received = gateway.call(Call::post(path, b"x").id("r-1")).await;
         let bytes: Vec<u8> = (0..=LAST).flat_map(event).collect();
         assert_that!(received.status, eq(200), "{path}");
-        assert_that!(received.is_whole, eq(true), "{path}");
+        assert_that!(received.is_complete, eq(true), "{path}");
         assert_that!(received.body, eq(&bytes), "{path}");
-        assert_that!(gateway.runs_of("r-1"), eq(1), "{path}");
+        assert_that!(gateway.run_count("r-1"), eq(1), "{path}");
     }
 }
 
 #[tokio::test]
 async fn stream_that_breaks_off_goes_on_elsewhere_if_it_may() {
     for cut_at in [0, 1, 5, LAST] {
-        let gateway = TestGateway::before(2, whole_stream()).await;
-        gateway.script.next([cut_stream(cut_at)]);
+        let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
+        gateway.script.push([cut_stream(cut_at)]);
         let received = call_resumable(&gateway).await;
         assert_that!(received.events(), eq(&all_events()), "cut at {cut_at}");
-        assert_that!(received.is_whole, eq(true), "cut at {cut_at}");
-        assert_that!(gateway.runs_of("r-1"), eq(2), "cut at {cut_at}");
+        assert_that!(received.is_complete, eq(true), "cut at {cut_at}");
+        assert_that!(gateway.run_count("r-1"), eq(2), "cut at {cut_at}");
     }
 }
 
 #[tokio::test]
 async fn stream_goes_on_more_than_once() {
-    let gateway = TestGateway::before(3, whole_stream()).await;
-    gateway.script.next([cut_stream(2), cut_stream(6)]);
+    let gateway = TestGateway::with_endpoints(3, whole_stream()).await;
+    gateway.script.push([cut_stream(2), cut_stream(6)]);
     let received = call_resumable(&gateway).await;
     assert_that!(received.events(), eq(&all_events()));
-    assert_that!(received.is_whole, eq(true));
+    assert_that!(received.is_complete, eq(true));
 }
 
 #[tokio::test]
 async fn stream_that_falls_silent_goes_on_elsewhere_if_it_may() {
-    let gateway = TestGateway::before(2, whole_stream()).await;
+    let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
     gateway
         .script
-        .next([Behaviour::StreamThenSilence { last: 3 }]);
+        .push([Behaviour::StreamThenStall { last: 3 }]);
     let received = call_resumable(&gateway).await;
     assert_that!(received.events(), eq(&all_events()));
-    assert_that!(received.is_whole, eq(true));
+    assert_that!(received.is_complete, eq(true));
 }
 
 #[tokio::test]
 async fn stream_that_may_not_be_resumed_breaks_off_and_is_not_run_again() {
-    let gateway = TestGateway::before(2, whole_stream()).await;
-    gateway.script.next([cut_stream(4)]);
+    let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
+    gateway.script.push([cut_stream(4)]);
     let received = gateway.call(Call::post("/stream/", b"x").id("r-1")).await;
     assert_that!(received.events().len(), le(5));
-    assert_that!(received.is_whole, eq(false));
-    assert_that!(gateway.runs_of("r-1"), eq(1));
+    assert_that!(received.is_complete, eq(false));
+    assert_that!(gateway.run_count("r-1"), eq(1));
 }
 
 #[tokio::test]
 async fn stream_that_breaks_off_everywhere_does_not_look_complete() {
-    let gateway = TestGateway::before(3, cut_stream(4)).await;
+    let gateway = TestGateway::with_endpoints(3, cut_stream(4)).await;
     let received = call_resumable(&gateway).await;
     assert_that!(received.events(), eq(&[0, 1, 2, 3]));
-    assert_that!(received.is_whole, eq(false));
+    assert_that!(received.is_complete, eq(false));
 }
 
 #[tokio::test]
 async fn stream_is_not_sent_to_more_endpoints_than_its_route_allows() {
-    let gateway = TestGateway::before(6, cut_stream(4)).await;
+    let gateway = TestGateway::with_endpoints(6, cut_stream(4)).await;
     call_resumable(&gateway).await;
-    assert_that!(gateway.runs_of("r-1"), eq(3));
+    assert_that!(gateway.run_count("r-1"), eq(3));
 }
 
 #[tokio::test]
 async fn stream_of_a_failed_endpoint_begins_elsewhere_if_it_may() {
-    let gateway = TestGateway::before(2, whole_stream()).await;
-    gateway.script.next([Behaviour::Fail]);
+    let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
+    gateway.script.push([Behaviour::Fail]);
     let received = call_resumable(&gateway).await;
     assert_that!(received.events(), eq(&all_events()));
-    assert_that!(received.is_whole, eq(true));
+    assert_that!(received.is_complete, eq(true));
 }
 
 #[tokio::test]
 async fn stream_goes_on_after_the_event_that_the_caller_names() {
-    let gateway = TestGateway::before(2, whole_stream()).await;
-    gateway.script.next([cut_stream(7)]);
+    let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
+    gateway.script.push([cut_stream(7)]);
     let call = Call::post("/resumable/", b"x")
         .id("r-1")
         .header("after", "5");
@@ -124,35 +124,38 @@
 #[tokio::test]
 async fn stream_ends_when_the_caller_leaves() {
     for path in ["/stream/", "/resumable/"] {
-        let gateway = TestGateway::before(1, Behaviour::StreamThenSilence { last: 3 }).await;
+        let gateway = TestGateway::with_endpoints(1, Behaviour::StreamThenStall { last: 3 }).await;
         let call = Call::post(path, b"x").id("r-1");
         let mut stream = call.send(gateway.running.front_address()).await;
         let mut first = [0; 16];
         stream.read_exact(&mut first).await.expect("a head");
         drop(stream);
-        gateway.endpoints[0].was_left().await;
-        assert_that!(gateway.runs_of("r-1"), eq(1), "{path}");
+        gateway.endpoints[0].wait_until_abandoned().await;
+        assert_that!(gateway.run_count("r-1"), eq(1), "{path}");
     }
 }
 
 #[tokio::test]
 async fn stream_tells_where_its_prefix_lies() {
-    let gateway = TestGateway::before(4, whole_stream()).await;
+    let gateway = TestGateway::with_endpoints(4, whole_stream()).await;
     let call = |id: &str| {
         Call::post("/stream/", b"x")
             .id(id)
             .header("parts", "7,8,99")
     };
     gateway.call(call("r-1")).await;
-    let home = gateway.endpoints.iter().position(|e| e.runs_of("r-1") == 1);
+    let home = gateway
+        .endpoints
+        .iter()
+        .position(|e| e.run_count("r-1") == 1);
     let home = home.expect("it ran");
     gateway.source.list(gateway.endpoints[home].leaving());
     loop {
         gateway.call(call("r-2")).await;
         let elsewhere = gateway.endpoints.iter().enumerate();
-        let mut elsewhere = elsewhere.filter(|(i, e)| *i != home && e.runs_of("r-2") > 0);
+        let mut elsewhere = elsewhere.filter(|(i, e)| *i != home && e.run_count("r-2") > 0);
         if let Some((_, endpoint)) = elsewhere.next() {
-            let seen = endpoint.seen();
+            let seen = endpoint.requests();
             let held = gateway.endpoints[home].endpoint.address.to_string();
             assert_that!(seen[0].header("holder"), some(eq(held.as_str())));
             return;
--- a/crates/gateway/tests/gateway/support/crashing.rs
+++ b/crates/gateway/tests/gateway/support/crashing.rs
@@ -1,5 +1,5 @@
-//! An endpoint that ends under some requests, with all that it runs, and starts
-//! again after a while, by another name or by its own.
+//! An endpoint that crashes under poison requests, with all its connections, and
+//! restarts later under a new name or its own.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,18 +14,18 @@
 use super::TestSource;
 use super::endpoint::{answer, read_request, send};
 
-/// What the bodies begin with under which it ends.
-pub(crate) const DEADLY: &[u8] = b"deadly";
-/// How long it runs such a request before it ends.
-const RUNS: Duration = Duration::from_millis(20);
-/// How long it runs all others: they are there yet when it ends.
-const ANSWERS_AFTER: Duration = Duration::from_millis(40);
-/// How long it is gone.
-const GONE: Duration = Duration::from_millis(700);
+/// Prefix of the bodies that crash the endpoint.
+pub(crate) const POISON_BODY: &[u8] = b"deadly";
+/// Time from the start of a poison request to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(20);
+/// Run time of other requests; longer than `CRASH_DELAY`, so that a crash interrupts them.
+const ANSWER_DELAY: Duration = Duration::from_millis(40);
+/// Time from a crash to the restart.
+const DOWNTIME: Duration = Duration::from_millis(700);
 
 #[derive(Default)]
 struct State {
-    arrived: Vec<Vec<u8>>,
+    received_bodies: Vec<Vec<u8>>,
     crashes: usize,
 }
 
@@ -34,54 +34,62 @@
 pub(crate) struct CrashingEndpoint {
     name: String,
     source: TestSource,
-    /// Whether it keeps its name when it starts again.
+    /// Whether the name stays the same after a restart.
     keeps_name: bool,
-    /// How long a request waits before it runs, unless its connection closes.
-    waits: Duration,
+    /// Time that a request is queued before it runs, unless its connection closes.
+    queue_delay: Duration,
     state: Arc<Mutex<State>>,
-    /// It is to end now.
-    ends: Arc<Notify>,
+    /// Triggers the crash.
+    crash_signal: Arc<Notify>,
 }
 
 impl CrashingEndpoint {
-    /// Starts one and lists it.
+    /// Starts an endpoint and adds it to the list.
     pub(crate) async fn start(name: &str, source: TestSource) -> Self {
         Self::with(name, source, Duration::ZERO, false).await
     }
 
-    /// The same; it starts again by its name.
-    pub(crate) async fn start_named(name: &str, source: TestSource) -> Self {
+    /// Like `start`; the endpoint keeps its name after a restart.
+    pub(crate) async fn start_keeping_name(name: &str, source: TestSource) -> Self {
         Self::with(name, source, Duration::ZERO, true).await
     }
 
-    /// The same; requests wait for so long before they run.
-    pub(crate) async fn start_busy(name: &str, source: TestSource, waits: Duration) -> Self {
-        Self::with(name, source, waits, false).await
+    /// Like `start`; requests are queued for a time before they run.
+    pub(crate) async fn start_with_queue_delay(
+        name: &str,
+        source: TestSource,
+        queue_delay: Duration,
+    ) -> Self {
+        Self::with(name, source, queue_delay, false).await
     }
 
-    async fn with(name: &str, source: TestSource, waits: Duration, keeps_name: bool) -> Self {
+    async fn with(name: &str, source: TestSource, queue_delay: Duration, keeps_name: bool) -> Self {
         let endpoint = Self {
-            waits,
+            queue_delay,
             keeps_name,
             name: name.to_owned(),
             source,
             state: Arc::default(),
-            ends: Arc::default(),
+            crash_signal: Arc::default(),
         };
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         endpoint.list(address);
-        tokio::spawn(endpoint.clone().live(listener, address));
+        tokio::spawn(endpoint.clone().run(listener, address));
         endpoint
     }
 
-    /// How many requests with a body arrived.
-    pub(crate) fn arrivals_of(&self, body: &[u8]) -> usize {
+    /// Returns the number of received requests with a body.
+    pub(crate) fn arrivals_with_body(&self, body: &[u8]) -> usize {
         let state = self.state();
-        state.arrived.iter().filter(|seen| *seen == body).count()
+        state
+            .received_bodies
+            .iter()
+            .filter(|received| *received == body)
+            .count()
     }
 
-    /// How often it ended.
+    /// Returns the number of crashes.
     pub(crate) fn crashes(&self) -> usize {
         self.state().crashes
     }
@@ -94,13 +102,13 @@
         self.source.list(self.entry(address));
     }
 
-    /// The entry of its start.
+    /// Returns the list entry of the current start.
     fn entry(&self, address: SocketAddr) -> Endpoint {
-        let start = self.crashes();
+        let restarts = self.crashes();
         let (name, incarnation) = if self.keeps_name {
-            (self.name.clone(), 1 + start as u64)
+            (self.name.clone(), 1 + restarts as u64)
         } else {
-            (format!("{}-{start}", self.name), 0)
+            (format!("{}-{restarts}", self.name), 0)
         };
         Endpoint {
             name: name.as_str().into(),
@@ -115,28 +123,28 @@
         }
     }
 
-    /// Lives and ends, again and again.
-    async fn live(self, mut listener: TcpListener, address: SocketAddr) {
+    /// Serves, crashes and restarts in a loop.
+    async fn run(self, mut listener: TcpListener, address: SocketAddr) {
         loop {
-            self.serve_until_it_ends(&listener).await;
+            self.serve_until_crash(&listener).await;
             drop(listener);
-            let gone = self.entry(address).name;
+            let old_name = self.entry(address).name;
             self.state().crashes += 1;
-            tokio::time::sleep(GONE).await;
+            tokio::time::sleep(DOWNTIME).await;
             if !self.keeps_name {
-                self.source.unlist(&gone);
+                self.source.unlist(&old_name);
             }
             listener = TcpListener::bind(address).await.expect("its own port");
             self.list(address);
         }
     }
 
-    async fn serve_until_it_ends(&self, listener: &TcpListener) {
-        // Dropped with all of its connections.
+    async fn serve_until_crash(&self, listener: &TcpListener) {
+        // Returning drops the set and closes all connections.
         let mut connections = JoinSet::new();
         loop {
             tokio::select! {
-                () = self.ends.notified() => return,
+                () = self.crash_signal.notified() => return,
                 accepted = listener.accept() => {
                     let (stream, _) = accepted.expect("a connection");
                     connections.spawn(self.clone().serve(stream));
@@ -145,26 +153,26 @@
         }
     }
 
-    /// Whether the other side still waits when a request is to run.
-    async fn runs_after_its_wait(&self, stream: &mut TcpStream) -> bool {
+    /// Waits for the queue delay. Returns whether the connection is still open.
+    async fn is_open_after_queue_delay(&self, stream: &mut TcpStream) -> bool {
         let mut byte = [0];
-        let left = tokio::time::timeout(self.waits, stream.read(&mut byte)).await;
-        left.is_err()
+        let closed = tokio::time::timeout(self.queue_delay, stream.read(&mut byte)).await;
+        closed.is_err()
     }
 
     async fn serve(self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Some(request) = read_request(&mut stream, &mut buffer).await {
-            self.state().arrived.push(request.body.clone());
-            if !self.runs_after_its_wait(&mut stream).await {
+            self.state().received_bodies.push(request.body.clone());
+            if !self.is_open_after_queue_delay(&mut stream).await {
                 return;
             }
-            if request.body.starts_with(DEADLY) {
-                tokio::time::sleep(RUNS).await;
-                self.ends.notify_one();
+            if request.body.starts_with(POISON_BODY) {
+                tokio::time::sleep(CRASH_DELAY).await;
+                self.crash_signal.notify_one();
                 return std::future::pending().await;
             }
-            tokio::time::sleep(ANSWERS_AFTER).await;
+            tokio::time::sleep(ANSWER_DELAY).await;
             if !send(&mut stream, &answer(&request)).await {
                 return;
             }
--- a/crates/gateway/tests/gateway/support/edge.rs
+++ b/crates/gateway/tests/gateway/support/edge.rs
@@ -1,4 +1,4 @@
-//! The spelling that the tests use.
+//! The HTTP headers that the tests use.
 
 use std::sync::Arc;
 
@@ -10,34 +10,34 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode, http};
 
-/// Plain headers: `id`, `key`, `deadline`, `parts`, `after`, `endpoint`; in answers
-/// `leaving` and `back-off-ms`.
+/// An edge with plain headers: `id`, `key`, `deadline`, `parts`, `after` and `endpoint`
+/// in requests, `leaving` and `back-off-ms` in answers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TestEdge;
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn put(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     headers.insert(name, HeaderValue::from_str(value).expect("a header"));
 }
 
 impl Edge for TestEdge {
     fn read_call(&self, head: &http::request::Parts) -> Result<CallHead, Refusal> {
         let headers = &head.headers;
-        let host = text(headers, "host").unwrap_or_default();
-        let parts = text(headers, "parts").unwrap_or_default().split(',');
+        let host = header_text(headers, "host").unwrap_or_default();
+        let parts = header_text(headers, "parts").unwrap_or_default().split(',');
         Ok(CallHead {
-            id: text(headers, "id").map(RequestId::from),
+            id: header_text(headers, "id").map(RequestId::from),
             host: host.split(':').next().unwrap_or_default().into(),
-            key: text(headers, "key").map(Arc::from),
-            deadline_ms: text(headers, "deadline").and_then(|ms| ms.parse().ok()),
+            key: header_text(headers, "key").map(Arc::from),
+            deadline_ms: header_text(headers, "deadline").and_then(|ms| ms.parse().ok()),
             prefix: parts
                 .filter_map(|part| part.parse().ok())
                 .map(|hash| PrefixPart { hash, tokens: 100 })
                 .collect(),
-            resume_after: text(headers, "after").and_then(|id| id.parse().ok()),
+            resume_after: header_text(headers, "after").and_then(|id| id.parse().ok()),
         })
     }
 
@@ -45,33 +45,33 @@
         let mut headers = caller.clone();
         headers.remove("key");
         headers.remove("after");
-        put(&mut headers, "endpoint", send.endpoint.as_str());
-        put(&mut headers, "deadline", &send.deadline_ms.to_string());
-        put(&mut headers, "priority", &send.priority.to_string());
+        set_header(&mut headers, "endpoint", send.endpoint.as_str());
+        set_header(&mut headers, "deadline", &send.deadline_ms.to_string());
+        set_header(&mut headers, "priority", &send.priority.to_string());
         if let Some(organisation) = send.organisation {
-            put(&mut headers, "organisation", organisation.as_str());
+            set_header(&mut headers, "organisation", organisation.as_str());
         }
         if let Some(after) = send.resume_after {
-            put(&mut headers, "after", &after.to_string());
+            set_header(&mut headers, "after", &after.to_string());
         }
         if let Some(holder) = send.holder {
-            put(&mut headers, "holder", &holder.to_string());
+            set_header(&mut headers, "holder", &holder.to_string());
         }
         headers
     }
 
     fn read_answer(&self, head: &http::response::Parts) -> AnswerHead {
         AnswerHead {
-            id: text(&head.headers, "id").map(RequestId::from),
+            id: header_text(&head.headers, "id").map(RequestId::from),
             is_signed: head.headers.contains_key("signature"),
             says_not_run: head.headers.contains_key("not-run"),
             is_other_endpoint: head.status == StatusCode::MISDIRECTED_REQUEST,
             keep_alive_s: None,
             closes: head.headers.contains_key("connection"),
             is_leaving: head.headers.contains_key("leaving"),
-            backoff: match text(&head.headers, "back-off-ms").map(str::parse) {
+            backoff: match header_text(&head.headers, "back-off-ms").map(str::parse) {
                 None => RequestedBackoff::None,
-                Some(Ok(asked_ms)) => RequestedBackoff::ForMs(asked_ms),
+                Some(Ok(backoff_ms)) => RequestedBackoff::ForMs(backoff_ms),
                 Some(Err(_)) => RequestedBackoff::Unreadable("text".to_owned()),
             },
         }
@@ -85,10 +85,10 @@
         let mut response = Response::new(Bytes::from(refusal.reason.code()));
         *response.status_mut() = StatusCode::from_u16(refusal.reason.status()).expect("a status");
         if let Some(id) = id {
-            put(response.headers_mut(), "id", id.as_str());
+            set_header(response.headers_mut(), "id", id.as_str());
         }
         if let Some(after_ms) = refusal.retry_after_ms {
-            put(response.headers_mut(), "come-back", &after_ms.to_string());
+            set_header(response.headers_mut(), "come-back", &after_ms.to_string());
         }
         response
     }
--- a/crates/gateway/tests/gateway/support/endpoint.rs
+++ b/crates/gateway/tests/gateway/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does to each request what the test says.
+//! An endpoint that follows the script of a test.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,57 +10,57 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What an endpoint does to one request.
+/// How an endpoint handles one request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Behaviour {
-    /// Answers 200 with the request's own body, or its id without one.
+    /// Answers 200 with the request's body, or with its id if the body is empty.
     Answer,
-    /// Answers after a time.
+    /// Answers after a delay in milliseconds.
     AnswerAfter(u64),
-    /// Says that it failed.
+    /// Answers 500.
     Fail,
-    /// Says 503 without a word on whether it ran.
+    /// Answers 503 without reporting whether the request ran.
     FailBusy,
-    /// Says that it did not run the request.
+    /// Answers 503 and reports that the request did not run.
     Shed,
-    /// Says that it is another endpoint.
-    OtherEndpoint,
+    /// Answers 421: another endpoint uses this address.
+    Misdirected,
     /// Reads the request and resets the connection.
     Reset,
-    /// Sends bytes that are no answer.
+    /// Sends bytes that are not HTTP.
     Garbage,
-    /// Sends an answer to another request.
-    OtherAnswer,
-    /// Answers, and sends another answer behind.
+    /// Sends an answer with another request's id.
+    MismatchedId,
+    /// Sends a second answer after the first.
     ExtraAnswer,
-    /// Breaks off in the body.
-    CutBody,
-    /// Answers 200 without vouching for it.
+    /// Closes the connection before the last byte of the body.
+    TruncatedBody,
+    /// Answers 200 without a signature.
     Unsigned,
-    /// Says nothing.
+    /// Never answers.
     Silent,
-    /// Answers without a length, and ends with the connection.
+    /// Answers without a length and closes the connection after the body.
     Unframed,
-    /// Closes the connection as soon as it rests.
+    /// Answers and closes the connection.
     AnswerThenClose,
-    /// Streams events up to a number, from the one after `after`; breaks off
-    /// in the middle of event `cut_at`.
+    /// Streams the events after `after` up to `last`; closes the connection in
+    /// the middle of event `cut_at`.
     Stream { last: u64, cut_at: Option<u64> },
-    /// Streams events up to a number, and resets the connection once the test says so.
-    StreamUntilBroken { last: u64 },
-    /// Streams events up to a number, and then says nothing more.
-    StreamThenSilence { last: u64 },
+    /// Streams events up to `last` and resets the connection on `reset_streams`.
+    StreamUntilReset { last: u64 },
+    /// Streams events up to `last` and keeps the connection open.
+    StreamThenStall { last: u64 },
 }
 
-/// A request as it arrived.
+/// A request as the endpoint received it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct RecordedRequest {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
-impl Seen {
-    /// A header's value.
+impl RecordedRequest {
+    /// Returns a header's value.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().skip(1);
         lines.find_map(|line| {
@@ -70,13 +70,13 @@
     }
 }
 
-/// What is done to the next requests, at whichever endpoint they arrive.
+/// Behaviours for the next requests, in order of arrival at any endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Script(Arc<Mutex<VecDeque<Behaviour>>>);
 
 impl Script {
-    /// Adds to it.
-    pub(crate) fn next(&self, behaviours: impl IntoIterator<Item = Behaviour>) {
+    /// Appends behaviours.
+    pub(crate) fn push(&self, behaviours: impl IntoIterator<Item = Behaviour>) {
         let mut next = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         next.extend(behaviours);
     }
@@ -88,101 +88,110 @@
 }
 
 struct State {
-    usual: Behaviour,
-    /// Header lines of all its answers.
-    says: String,
-    seen: Vec<Seen>,
+    behaviour: Behaviour,
+    /// Header lines added to every answer.
+    report: String,
+    requests: Vec<RecordedRequest>,
 }
 
-/// A scripted endpoint.
+/// An endpoint with scripted behaviour.
 #[derive(Clone)]
 pub(crate) struct ScriptedEndpoint {
     pub(crate) endpoint: Endpoint,
     state: Arc<Mutex<State>>,
     script: Script,
-    /// Connections that the other side closed while a request was worked on.
-    left: Arc<watch::Sender<usize>>,
+    /// Number of connections that the peer closed during a request.
+    abandoned: Arc<watch::Sender<usize>>,
     connections: Arc<watch::Sender<usize>>,
-    broken: Arc<watch::Sender<bool>>,
+    reset_signal: Arc<watch::Sender<bool>>,
 }
 
 impl ScriptedEndpoint {
-    /// Starts one.
-    pub(crate) async fn start(name: &str, pool: &str, usual: Behaviour, script: Script) -> Self {
+    /// Starts an endpoint on a free port.
+    pub(crate) async fn start(
+        name: &str,
+        pool: &str,
+        behaviour: Behaviour,
+        script: Script,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let scripted = Self {
             endpoint: endpoint(name, pool, address),
             state: Arc::new(Mutex::new(State {
-                usual,
-                says: String::new(),
-                seen: Vec::new(),
+                behaviour,
+                report: String::new(),
+                requests: Vec::new(),
             })),
             script,
-            left: Arc::new(watch::channel(0).0),
+            abandoned: Arc::new(watch::channel(0).0),
             connections: Arc::new(watch::channel(0).0),
-            broken: Arc::new(watch::channel(false).0),
+            reset_signal: Arc::new(watch::channel(false).0),
         };
-        let accepting = scripted.clone();
+        let acceptor = scripted.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                accepting.connections.send_modify(|count| *count += 1);
-                tokio::spawn(accepting.clone().serve(stream));
+                acceptor.connections.send_modify(|count| *count += 1);
+                tokio::spawn(acceptor.clone().serve(stream));
             }
         });
         scripted
     }
 
-    /// What it does to requests that the script leaves to it.
-    pub(crate) fn usually(&self, behaviour: Behaviour) {
-        self.state().usual = behaviour;
+    /// Sets the behaviour for requests beyond the script.
+    pub(crate) fn set_behaviour(&self, behaviour: Behaviour) {
+        self.state().behaviour = behaviour;
     }
 
-    /// Resets the streams that are to be broken.
-    pub(crate) fn break_off(&self) {
-        self.broken.send_replace(true);
+    /// Resets the connections of `StreamUntilReset`.
+    pub(crate) fn reset_streams(&self) {
+        self.reset_signal.send_replace(true);
     }
 
-    /// What it says of itself in all its answers: a header line.
-    pub(crate) fn says(&self, line: &str) {
-        self.state().says = format!("{line}\r\n");
+    /// Adds a header line, in which the endpoint reports its state, to every answer.
+    pub(crate) fn set_report(&self, line: &str) {
+        self.state().report = format!("{line}\r\n");
     }
 
-    /// Says nothing of itself any more.
-    pub(crate) fn says_nothing(&self) {
-        self.state().says.clear();
+    /// Removes the header line of `set_report`.
+    pub(crate) fn clear_report(&self) {
+        self.state().report.clear();
     }
 
-    /// The requests that arrived.
-    pub(crate) fn seen(&self) -> Vec<Seen> {
-        self.state().seen.clone()
+    /// Returns all received requests.
+    pub(crate) fn requests(&self) -> Vec<RecordedRequest> {
+        self.state().requests.clone()
     }
 
-    /// How many requests arrived.
+    /// Returns the number of received requests.
     pub(crate) fn arrivals(&self) -> usize {
-        self.state().seen.len()
+        self.state().requests.len()
     }
 
-    /// How many requests arrived with an id.
-    pub(crate) fn runs_of(&self, id: &str) -> usize {
-        let seen = self.seen();
-        seen.iter().filter(|s| s.header("id") == Some(id)).count()
+    /// Returns the number of received requests with an id.
+    pub(crate) fn run_count(&self, id: &str) -> usize {
+        let requests = self.requests();
+        requests
+            .iter()
+            .filter(|r| r.header("id") == Some(id))
+            .count()
     }
 
-    /// How many connections were opened to it.
+    /// Returns the number of accepted connections.
     pub(crate) fn connections(&self) -> usize {
         *self.connections.borrow()
     }
 
-    /// Waits until the other side has left a request that was worked on.
-    pub(crate) async fn was_left(&self) {
-        let mut left = self.left.subscribe();
-        left.wait_for(|count| *count > 0)
+    /// Waits until a peer has closed its connection during a request.
+    pub(crate) async fn wait_until_abandoned(&self) {
+        let mut abandoned = self.abandoned.subscribe();
+        abandoned
+            .wait_for(|count| *count > 0)
             .await
             .expect("the endpoint is there");
     }
 
-    /// Its entry, leaving.
+    /// Returns its list entry in state `Leaving`.
     pub(crate) fn leaving(&self) -> Endpoint {
         Endpoint {
             state: HostState::Leaving,
@@ -199,44 +208,51 @@
         while let Some(request) = read_request(&mut stream, &mut buffer).await {
             let behaviour = {
                 let mut state = self.state();
-                state.seen.push(request.clone());
-                self.script.take().unwrap_or_else(|| state.usual.clone())
+                state.requests.push(request.clone());
+                self.script
+                    .take()
+                    .unwrap_or_else(|| state.behaviour.clone())
             };
-            if !self.act(&mut stream, &request, behaviour).await {
+            if !self.respond(&mut stream, &request, behaviour).await {
                 return;
             }
         }
     }
 
-    /// Returns whether the connection goes on.
-    async fn act(&self, stream: &mut TcpStream, request: &Seen, behaviour: Behaviour) -> bool {
+    /// Handles one request. Returns whether the connection stays open.
+    async fn respond(
+        &self,
+        stream: &mut TcpStream,
+        request: &RecordedRequest,
+        behaviour: Behaviour,
+    ) -> bool {
         let id = request.header("id").unwrap_or_default().to_owned();
         let body = if request.body.is_empty() {
             id.clone().into_bytes()
         } else {
             request.body.clone()
         };
-        let says = self.state().says.clone();
-        let whole = |status: &str, id: &str, extra: &str| {
+        let report = self.state().report.clone();
+        let response = |status: &str, id: &str, extra: &str| {
             let length = body.len();
             let head = format!(
-                "HTTP/1.1 {status}\r\nid: {id}\r\n{extra}{says}content-length: {length}\r\n\r\n"
+                "HTTP/1.1 {status}\r\nid: {id}\r\n{extra}{report}content-length: {length}\r\n\r\n"
             );
             [head.as_bytes(), &body].concat()
         };
         const SIGNED: &str = "signature: s\r\n";
         match behaviour {
-            Behaviour::Answer => send(stream, &whole("200 OK", &id, SIGNED)).await,
-            Behaviour::AnswerAfter(pause_ms) => {
-                if self.left_within(stream, pause_ms).await {
+            Behaviour::Answer => send(stream, &response("200 OK", &id, SIGNED)).await,
+            Behaviour::AnswerAfter(delay_ms) => {
+                if self.is_abandoned_within(stream, delay_ms).await {
                     return false;
                 }
-                send(stream, &whole("200 OK", &id, SIGNED)).await
+                send(stream, &response("200 OK", &id, SIGNED)).await
             }
-            Behaviour::Fail => send(stream, &whole("500 Failed", &id, SIGNED)).await,
-            Behaviour::FailBusy => send(stream, &whole("503 Busy", &id, SIGNED)).await,
-            Behaviour::Shed => send(stream, &whole("503 Full", &id, "not-run: 1\r\n")).await,
-            Behaviour::OtherEndpoint => send(stream, &whole("421 Other", &id, "")).await,
+            Behaviour::Fail => send(stream, &response("500 Failed", &id, SIGNED)).await,
+            Behaviour::FailBusy => send(stream, &response("503 Busy", &id, SIGNED)).await,
+            Behaviour::Shed => send(stream, &response("503 Full", &id, "not-run: 1\r\n")).await,
+            Behaviour::Misdirected => send(stream, &response("421 Other", &id, "")).await,
             Behaviour::Reset => {
                 reset(stream);
                 false
@@ -245,51 +261,51 @@
                 send(stream, b"\x00\x01 this is no answer\r\n\r\n").await;
                 false
             }
-            Behaviour::OtherAnswer => send(stream, &whole("200 OK", "other", SIGNED)).await,
+            Behaviour::MismatchedId => send(stream, &response("200 OK", "other", SIGNED)).await,
             Behaviour::ExtraAnswer => {
-                let answer = whole("200 OK", &id, SIGNED);
-                let extra = whole("200 OK", "other", SIGNED);
+                let answer = response("200 OK", &id, SIGNED);
+                let extra = response("200 OK", "other", SIGNED);
                 send(stream, &[answer, extra].concat()).await
             }
-            Behaviour::CutBody => {
-                let answer = whole("200 OK", &id, SIGNED);
+            Behaviour::TruncatedBody => {
+                let answer = response("200 OK", &id, SIGNED);
                 send(stream, &answer[..answer.len() - 1]).await;
                 false
             }
-            Behaviour::Unsigned => send(stream, &whole("200 OK", &id, "")).await,
+            Behaviour::Unsigned => send(stream, &response("200 OK", &id, "")).await,
             Behaviour::Silent => {
-                self.left_within(stream, u64::MAX >> 20).await;
+                self.is_abandoned_within(stream, u64::MAX >> 20).await;
                 false
             }
             Behaviour::Unframed => {
-                let head = format!("HTTP/1.1 200 OK\r\nid: {id}\r\n{SIGNED}{says}\r\n");
+                let head = format!("HTTP/1.1 200 OK\r\nid: {id}\r\n{SIGNED}{report}\r\n");
                 send(stream, &[head.as_bytes(), &body].concat()).await;
                 false
             }
             Behaviour::AnswerThenClose => {
-                send(stream, &whole("200 OK", &id, SIGNED)).await;
+                send(stream, &response("200 OK", &id, SIGNED)).await;
                 false
             }
             Behaviour::Stream { last, cut_at } => {
                 self.stream(stream, request, &id, last, cut_at).await
             }
-            Behaviour::StreamUntilBroken { last } => {
-                let mut broken = self.broken.subscribe();
+            Behaviour::StreamUntilReset { last } => {
+                let mut reset_signal = self.reset_signal.subscribe();
                 let sending = self.stream(stream, request, &id, last, Some(last));
                 tokio::select! {
                     _ = sending => {}
-                    _ = broken.wait_for(|is_broken| *is_broken) => {}
+                    _ = reset_signal.wait_for(|is_set| *is_set) => {}
                 }
-                let _never_closed = broken.wait_for(|is_broken| *is_broken).await;
+                let _never_closed = reset_signal.wait_for(|is_set| *is_set).await;
                 reset(stream);
                 false
             }
-            Behaviour::StreamThenSilence { last } => {
+            Behaviour::StreamThenStall { last } => {
                 send(stream, self.stream_head(&id).as_bytes()).await;
                 for number in first_event(request)..=last {
                     send(stream, &chunk(&event(number))).await;
                 }
-                self.left_within(stream, u64::MAX >> 20).await;
+                self.is_abandoned_within(stream, u64::MAX >> 20).await;
                 false
             }
         }
@@ -298,7 +314,7 @@
     async fn stream(
         &self,
         stream: &mut TcpStream,
-        request: &Seen,
+        request: &RecordedRequest,
         id: &str,
         last: u64,
         cut_at: Option<u64>,
@@ -316,22 +332,22 @@
     }
 
     fn stream_head(&self, id: &str) -> String {
-        let says = self.state().says.clone();
+        let report = self.state().report.clone();
         format!(
-            "HTTP/1.1 200 OK\r\nid: {id}\r\nsignature: s\r\n{says}\
+            "HTTP/1.1 200 OK\r\nid: {id}\r\nsignature: s\r\n{report}\
              content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
         )
     }
 
-    /// Waits; returns whether the other side left meanwhile.
-    async fn left_within(&self, stream: &mut TcpStream, pause_ms: u64) -> bool {
+    /// Waits for a time. Returns whether the peer closed the connection meanwhile.
+    async fn is_abandoned_within(&self, stream: &mut TcpStream, delay_ms: u64) -> bool {
         let mut byte = [0];
-        let reading = tokio::time::timeout(Duration::from_millis(pause_ms), stream.read(&mut byte));
-        let is_left = matches!(reading.await, Ok(Ok(0) | Err(_)));
-        if is_left {
-            self.left.send_modify(|count| *count += 1);
+        let reading = tokio::time::timeout(Duration::from_millis(delay_ms), stream.read(&mut byte));
+        let is_abandoned = matches!(reading.await, Ok(Ok(0) | Err(_)));
+        if is_abandoned {
+            self.abandoned.send_modify(|count| *count += 1);
         }
-        is_left
+        is_abandoned
     }
 }
 
@@ -349,12 +365,12 @@
     }
 }
 
-/// The bytes of an event.
+/// Returns the bytes of an event.
 pub(crate) fn event(number: u64) -> Vec<u8> {
     format!("id: {number}\ndata: event {number}\n\n").into_bytes()
 }
 
-fn first_event(request: &Seen) -> u64 {
+fn first_event(request: &RecordedRequest) -> u64 {
     let after = request.header("after").and_then(|after| after.parse().ok());
     after.map_or(0, |after: u64| after + 1)
 }
@@ -370,8 +386,8 @@
     stream.write_all(bytes).await.is_ok()
 }
 
-/// A whole answer of 200 with the request's own body.
-pub(super) fn answer(request: &Seen) -> Vec<u8> {
+/// Returns a complete 200 answer with the request's body.
+pub(super) fn answer(request: &RecordedRequest) -> Vec<u8> {
     let id = request.header("id").unwrap_or_default();
     let length = request.body.len();
     let head =
@@ -383,23 +399,26 @@
     stream.set_zero_linger().expect("a socket");
 }
 
-pub(super) async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Seen> {
+pub(super) async fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> Option<RecordedRequest> {
     loop {
         if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
-            let seen = Seen {
+            let request = RecordedRequest {
                 head,
                 body: Vec::new(),
             };
-            let length: usize = seen
+            let length: usize = request
                 .header("content-length")
                 .and_then(|length| length.parse().ok())
                 .unwrap_or(0);
-            let whole = end + 4 + length;
-            if buffer.len() >= whole {
-                let body = buffer[end + 4..whole].to_vec();
-                buffer.drain(..whole);
-                return Some(Seen { body, ..seen });
+            let total = end + 4 + length;
+            if buffer.len() >= total {
+                let body = buffer[end + 4..total].to_vec();
+                buffer.drain(..total);
+                return Some(RecordedRequest { body, ..request });
             }
         }
         let read = stream.read_buf(buffer).await.ok()?;
--- a/crates/gateway/tests/gateway/support/fleet.rs
+++ b/crates/gateway/tests/gateway/support/fleet.rs
@@ -1,4 +1,4 @@
-//! One gateway and what a caller of it receives.
+//! A running gateway and an HTTP client for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 
 use super::{Behaviour, Script, ScriptedEndpoint, TestEdge, TestSource};
 
-/// A key of the organisation `dispatch`.
+/// API key of the organisation `dispatch`.
 pub(crate) const KEY: &str = "key-1";
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The routes of all tests: one a kind, on the pool `pool`.
+/// Returns a route to the pool `pool`.
 pub(crate) fn route(name: &str, kind: RouteKind, attempts_max: u32) -> Route {
     Route {
         name: name.into(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The rules of all tests.
+/// Returns rules with one route of each kind.
 pub(crate) fn rules(version: u64) -> RulesDocument {
     RulesDocument {
         version: RulesVersion(version),
@@ -64,22 +64,22 @@
     }
 }
 
-/// The rules of all tests and so many routes besides.
-pub(crate) fn rules_of(version: u64, routes: usize) -> RulesDocument {
+/// Returns the rules of `rules` with extra routes.
+pub(crate) fn rules_with_routes(version: u64, routes: usize) -> RulesDocument {
     let mut document = rules(version);
-    let more = (0..routes).map(|i| route(&format!("more-{i}"), RouteKind::Safe, 2));
-    document.routes.splice(0..0, more);
+    let extra = (0..routes).map(|i| route(&format!("more-{i}"), RouteKind::Safe, 2));
+    document.routes.splice(0..0, extra);
     document
 }
 
-/// The settings of all tests.
+/// Returns settings with free ports.
 pub(super) fn config(zone: &str, host: &str, seeds: Vec<SocketAddr>) -> GatewayConfigBuilder {
     const GRACE_MS: u64 = 2_000;
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    GatewayConfig::builder(host, zone, any)
-        .ready_listen(any)
-        .metrics_listen(any)
-        .peer_listen(any)
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    GatewayConfig::builder(host, zone, any_port)
+        .ready_listen(any_port)
+        .metrics_listen(any_port)
+        .peer_listen(any_port)
         .peer_seeds(seeds)
         .grace_ms(GRACE_MS)
         .retry_budget(BudgetRules {
@@ -89,19 +89,19 @@
         })
 }
 
-/// A running gateway.
+/// A running gateway with its store and endpoints.
 pub(crate) struct TestGateway {
     pub(crate) running: RunningGateway,
     pub(crate) stop: StopHandle,
     pub(crate) source: TestSource,
     pub(crate) endpoints: Vec<ScriptedEndpoint>,
-    /// What its endpoints do next.
+    /// Behaviours for the next requests at its endpoints.
     pub(crate) script: Script,
 }
 
 impl TestGateway {
-    /// A gateway before so many endpoints, ready to serve.
-    pub(crate) async fn before(endpoints: usize, usual: Behaviour) -> Self {
+    /// Starts endpoints and a gateway in front of them, and waits until it is ready.
+    pub(crate) async fn with_endpoints(endpoints: usize, behaviour: Behaviour) -> Self {
         let source = TestSource::default();
         source.set_rules(rules(1));
         let script = Script::default();
@@ -109,11 +109,11 @@
         for i in 0..endpoints {
             let name = format!("endpoint-{i}");
             let endpoint =
-                ScriptedEndpoint::start(&name, "pool", usual.clone(), script.clone()).await;
+                ScriptedEndpoint::start(&name, "pool", behaviour.clone(), script.clone()).await;
             source.list(endpoint.endpoint.clone());
             started.push(endpoint);
         }
-        let gateway = Self::with(source, "host-1", Vec::new()).await;
+        let gateway = Self::start(source, "host-1", Vec::new()).await;
         gateway.ready().await;
         Self {
             endpoints: started,
@@ -122,12 +122,12 @@
         }
     }
 
-    /// A gateway of a source, which may know nothing yet.
-    pub(crate) async fn with(source: TestSource, host: &str, seeds: Vec<SocketAddr>) -> Self {
+    /// Starts a gateway; it may not be ready yet.
+    pub(crate) async fn start(source: TestSource, host: &str, seeds: Vec<SocketAddr>) -> Self {
         Self::in_zone("zone-a", source, host, seeds).await
     }
 
-    /// A gateway whose retries are paid for by its requests alone.
+    /// Starts a gateway whose retry budget has no slack.
     pub(crate) async fn with_budget(source: TestSource, ratio: f64) -> Self {
         let config = config("zone-a", "host-1", Vec::new());
         let budget = BudgetRules {
@@ -135,30 +135,32 @@
             slack: 0.0,
             window_ms: 10_000,
         };
-        Self::configured(config.retry_budget(budget).build(), source).await
+        Self::from_config(config.retry_budget(budget).build(), source).await
     }
 
-    /// A gateway with so many places for callers' connections.
-    pub(crate) async fn with_places(source: TestSource, connections_max: usize) -> Self {
+    /// Starts a gateway with a limit on callers' connections.
+    pub(crate) async fn with_max_connections(source: TestSource, connections_max: usize) -> Self {
         let config = config("zone-a", "host-1", Vec::new());
-        Self::configured(config.connections_max(connections_max).build(), source).await
+        Self::from_config(config.connections_max(connections_max).build(), source).await
     }
 
-    /// A gateway with room for so many bytes of callers' bodies.
-    pub(crate) async fn with_room(source: TestSource, bodies_max_bytes: usize) -> Self {
+    /// Starts a gateway with a limit on the bytes of callers' bodies.
+    pub(crate) async fn with_max_body_bytes(source: TestSource, bodies_max_bytes: usize) -> Self {
         let config = config("zone-a", "host-1", Vec::new());
-        Self::configured(config.bodies_max_bytes(bodies_max_bytes).build(), source).await
+        Self::from_config(config.bodies_max_bytes(bodies_max_bytes).build(), source).await
     }
 
-    /// A gateway with room for so many bytes of endpoints' answers.
-    pub(crate) async fn with_answer_room(source: TestSource, answers_max_bytes: usize) -> Self {
+    /// Starts a gateway with a limit on the bytes of endpoints' answers.
+    pub(crate) async fn with_max_answer_bytes(
+        source: TestSource,
+        answers_max_bytes: usize,
+    ) -> Self {
         const BODIES_MAX_BYTES: usize = 256 * 1024 * 1024;
         let config = config("zone-a", "host-1", Vec::new()).bodies_max_bytes(BODIES_MAX_BYTES);
-        Self::configured(config.answers_max_bytes(answers_max_bytes).build(), source).await
+        Self::from_config(config.answers_max_bytes(answers_max_bytes).build(), source).await
     }
 
-    /// A gateway that has to know within a bound what changed in a silence of
-    /// its source.
+    /// Starts a gateway with a bound on how late it learns of changes in the store.
     pub(crate) async fn with_follow_bound(
         source: TestSource,
         host: &str,
@@ -166,11 +168,11 @@
         bound_ms: u64,
     ) -> Self {
         let config = config("zone-a", host, seeds).follow_bound_ms(bound_ms);
-        Self::configured(config.build(), source).await
+        Self::from_config(config.build(), source).await
     }
 
-    /// A gateway that bounds what cold endpoints are sent, and that believes their
-    /// entries a minute late.
+    /// Starts a gateway that limits requests to cold endpoints and assumes that
+    /// list entries are up to a minute late.
     pub(crate) async fn with_cold_bound(
         source: TestSource,
         host: &str,
@@ -184,47 +186,53 @@
         let config = config("zone-a", host, seeds)
             .cold_bound(Some(bound))
             .entry_delay_ms(ENTRY_DELAY_MS);
-        Self::configured(config.build(), source).await
+        Self::from_config(config.build(), source).await
     }
 
-    /// A gateway that passes large rules on to so many others at once.
-    pub(crate) async fn with_uploads(source: TestSource, uploads_max: usize) -> Self {
+    /// Starts a gateway with a limit on concurrent large uploads to peers.
+    pub(crate) async fn with_max_uploads(source: TestSource, uploads_max: usize) -> Self {
         let config = config("zone-a", "host-1", Vec::new());
-        Self::configured(config.uploads_max(uploads_max).build(), source).await
+        Self::from_config(config.uploads_max(uploads_max).build(), source).await
     }
 
-    /// A gateway that serves by rules of a platform of its own.
-    pub(crate) async fn serving(rules: RulesDocument) -> Self {
+    /// Starts a gateway with its own store and waits until it is ready.
+    pub(crate) async fn with_rules(rules: RulesDocument) -> Self {
         let source = TestSource::default();
         source.set_rules(rules);
-        let gateway = Self::with(source, "host-1", Vec::new()).await;
+        let gateway = Self::start(source, "host-1", Vec::new()).await;
         gateway.ready().await;
         gateway
     }
 
-    /// A gateway that its platform does not answer.
-    pub(crate) async fn cut_off(host: &str, seeds: Vec<SocketAddr>) -> Self {
+    /// Starts a gateway whose store is unavailable.
+    pub(crate) async fn without_store(host: &str, seeds: Vec<SocketAddr>) -> Self {
         let source = TestSource::default();
-        source.set_down(true);
-        Self::with(source, host, seeds).await
+        source.set_unavailable(true);
+        Self::start(source, host, seeds).await
     }
 
-    /// A gateway in a zone.
+    /// Starts a gateway in a zone.
     pub(crate) async fn in_zone(
         zone: &str,
         source: TestSource,
         host: &str,
         seeds: Vec<SocketAddr>,
     ) -> Self {
-        Self::configured(config(zone, host, seeds).build(), source).await
+        Self::from_config(config(zone, host, seeds).build(), source).await
     }
 
-    async fn configured(config: GatewayConfig, source: TestSource) -> Self {
-        let (stop, asked) = stop_pair();
+    async fn from_config(config: GatewayConfig, source: TestSource) -> Self {
+        let (stop, stop_requested) = stop_pair();
         let (_, reloads) = mpsc::channel(1);
-        let running = start(config, Box::new(TestEdge), source.clone(), asked, reloads)
-            .await
-            .expect("the gateway starts");
+        let running = start(
+            config,
+            Box::new(TestEdge),
+            source.clone(),
+            stop_requested,
+            reloads,
+        )
+        .await
+        .expect("the gateway starts");
         Self {
             running,
             stop,
@@ -234,46 +242,46 @@
         }
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until the gateway is ready.
     pub(crate) async fn ready(&self) {
         while self.ready_status().await != 200 {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// What it says when it is asked whether it is ready.
+    /// Returns the status of its readiness check.
     pub(crate) async fn ready_status(&self) -> u16 {
         let address = self.running.status_addresses()[0];
-        let answer = Call::get("/ready").to(address).await;
+        let answer = Call::get("/ready").exchange(address).await;
         answer.status
     }
 
-    /// Its metrics.
+    /// Returns its metrics as text.
     pub(crate) async fn metrics(&self) -> String {
         let address = self.running.status_addresses()[1];
-        let answer = Call::get("/metrics").to(address).await;
+        let answer = Call::get("/metrics").exchange(address).await;
         String::from_utf8_lossy(&answer.body).into_owned()
     }
 
-    /// Whether it has a version of the rules in force.
-    pub(crate) async fn knows_rules(&self, version: u64) -> bool {
+    /// Returns whether a version of the rules is in force.
+    pub(crate) async fn has_rules(&self, version: u64) -> bool {
         let line = format!("chalkrock_rules_version{{}} {version}\n");
         self.metrics().await.contains(&line)
     }
 
-    /// Where other hosts reach it.
+    /// Returns its address for peers.
     pub(crate) fn peer_address(&self) -> SocketAddr {
-        self.running.peer_address().expect("it hears others")
+        self.running.peer_address().expect("a peer address")
     }
 
-    /// Sends a call.
+    /// Sends a call and returns the answer.
     pub(crate) async fn call(&self, call: Call) -> Received {
-        call.to(self.running.front_address()).await
+        call.exchange(self.running.front_address()).await
     }
 
-    /// How often a request ran, over all endpoints.
-    pub(crate) fn runs_of(&self, id: &str) -> usize {
-        self.endpoints.iter().map(|e| e.runs_of(id)).sum()
+    /// Returns how many times a request arrived at its endpoints.
+    pub(crate) fn run_count(&self, id: &str) -> usize {
+        self.endpoints.iter().map(|e| e.run_count(id)).sum()
     }
 }
 
@@ -286,20 +294,19 @@
     body: Vec<u8>,
 }
 
-/// What a caller received on its connection until it was closed or, for an
-/// answer with a length, until the answer was whole.
+/// An answer as received until it was complete or the connection closed.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Received {
-    /// 0 if the connection closed without a head.
+    /// 0 if the connection closed before a complete head.
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
-    /// Whether the body has the end that its framing asks for.
-    pub(crate) is_whole: bool,
+    /// Whether the body ends as its framing requires.
+    pub(crate) is_complete: bool,
 }
 
 impl Received {
-    /// A header's value.
+    /// Returns a header's value.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().skip(1);
         lines.find_map(|line| {
@@ -308,7 +315,7 @@
         })
     }
 
-    /// The numbers of the events in the body.
+    /// Returns the ids of the events in the body.
     pub(crate) fn events(&self) -> Vec<u64> {
         let text = String::from_utf8_lossy(&self.body).into_owned();
         let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
@@ -317,7 +324,7 @@
 }
 
 impl Call {
-    /// A `GET` with a key.
+    /// Creates a `GET` request with a key.
     pub(crate) fn get(path: &str) -> Self {
         Self {
             method: "GET",
@@ -330,7 +337,7 @@
         }
     }
 
-    /// A `POST` with a key.
+    /// Creates a `POST` request with a key.
     pub(crate) fn post(path: &str, body: &[u8]) -> Self {
         Self {
             method: "POST",
@@ -339,12 +346,12 @@
         }
     }
 
-    /// Names the request.
+    /// Sets the request id.
     pub(crate) fn id(self, id: &str) -> Self {
         self.header("id", id)
     }
 
-    /// Sets a header, or takes it away if it is empty.
+    /// Sets a header, or removes it if the value is empty.
     pub(crate) fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.retain(|(known, _)| known != name);
         if !value.is_empty() {
@@ -353,7 +360,7 @@
         self
     }
 
-    /// The bytes of the request.
+    /// Returns the request as it is sent.
     pub(crate) fn bytes(&self) -> Vec<u8> {
         let mut text = format!("{} {} HTTP/1.1\r\n", self.method, self.path);
         for (name, value) in &self.headers {
@@ -366,12 +373,12 @@
         [text.as_bytes(), &self.body].concat()
     }
 
-    /// Sends it on a new connection.
-    pub(crate) async fn to(&self, address: SocketAddr) -> Received {
+    /// Sends the request on a new connection and returns the answer.
+    pub(crate) async fn exchange(&self, address: SocketAddr) -> Received {
         receive(&mut self.send(address).await).await
     }
 
-    /// Sends it on a new connection and waits for nothing.
+    /// Sends the request on a new connection without reading the answer.
     pub(crate) async fn send(&self, address: SocketAddr) -> TcpStream {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         stream.write_all(&self.bytes()).await.expect("a request");
@@ -395,11 +402,11 @@
         status: 0,
         head: String::new(),
         body: bytes,
-        is_whole: false,
+        is_complete: false,
     })
 }
 
-/// Parses an answer; one that is not whole only if the connection has closed.
+/// Parses an answer. Returns an incomplete one only if the connection has closed.
 fn parse(bytes: &[u8], is_closed: bool) -> Option<Received> {
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
@@ -409,17 +416,17 @@
         status,
         head,
         body: Vec::new(),
-        is_whole: false,
+        is_complete: false,
     };
     if received.header("transfer-encoding").is_some() {
-        (received.body, received.is_whole) = dechunk(rest);
+        (received.body, received.is_complete) = dechunk(rest);
     } else {
         let length = received.header("content-length");
         let length: usize = length.and_then(|length| length.parse().ok()).unwrap_or(0);
-        received.is_whole = rest.len() >= length;
+        received.is_complete = rest.len() >= length;
         received.body = rest[..rest.len().min(length)].to_vec();
     }
-    (received.is_whole || is_closed).then_some(received)
+    (received.is_complete || is_closed).then_some(received)
 }
 
 fn dechunk(mut rest: &[u8]) -> (Vec<u8>, bool) {
@@ -443,15 +450,15 @@
     (body, false)
 }
 
-/// Waits until something holds.
-pub(crate) async fn until(mut holds: impl AsyncFnMut() -> bool) {
-    while !holds().await {
-        tokio::time::sleep(LOOK_PAUSE).await;
+/// Polls until the condition holds.
+pub(crate) async fn until(mut condition: impl AsyncFnMut() -> bool) {
+    while !condition().await {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A figure of a host's metrics.
-pub(crate) async fn figure(host: &TestGateway, name: &str) -> f64 {
+/// Returns the value of a host's metric, or 0 if it is missing.
+pub(crate) async fn metric_value(host: &TestGateway, name: &str) -> f64 {
     let metrics = host.metrics().await;
     let prefix = format!("chalkrock_{name}{{}} ");
     let mut lines = metrics.lines();
@@ -459,11 +466,11 @@
     line.map_or(0.0, |value| value.parse().expect("a number"))
 }
 
-/// How many hosts have a figure.
-pub(crate) async fn hosts_with(hosts: &[TestGateway], name: &str, value: f64) -> usize {
-    let mut found = 0;
+/// Returns how many hosts have a value in a metric.
+pub(crate) async fn hosts_with_metric(hosts: &[TestGateway], name: &str, value: f64) -> usize {
+    let mut count = 0;
     for host in hosts {
-        found += usize::from(figure(host, name).await == value);
+        count += usize::from(metric_value(host, name).await == value);
     }
-    found
+    count
 }
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway before scripted endpoints, with an edge and a source of its own.
+//! Gateways, scripted endpoints and an in-memory store for the tests.
 
 mod crashing;
 mod edge;
@@ -8,11 +8,12 @@
 mod source;
 mod suspendable;
 
-pub(crate) use crashing::{CrashingEndpoint, DEADLY};
+pub(crate) use crashing::{CrashingEndpoint, POISON_BODY};
 pub(crate) use edge::TestEdge;
 pub(crate) use endpoint::{Behaviour, Script, ScriptedEndpoint, event};
 pub(crate) use fleet::{
-    Call, KEY, Received, TestGateway, figure, hosts_with, receive, rules, rules_of, until,
+    Call, KEY, Received, TestGateway, hosts_with_metric, metric_value, receive, rules,
+    rules_with_routes, until,
 };
 pub(crate) use link::SlowLink;
 pub(crate) use source::TestSource;
--- a/crates/gateway/tests/gateway/support/source.rs
+++ b/crates/gateway/tests/gateway/support/source.rs
@@ -1,4 +1,4 @@
-//! A platform in memory that can be switched off.
+//! An in-memory store with failures that a test switches on.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,15 +17,14 @@
 
 #[derive(Default)]
 struct State {
-    is_down: bool,
+    is_unavailable: bool,
     is_silent: bool,
-    /// How long each answer takes.
-    answer_ms: u64,
-    /// How long rules take on their way to a gateway, alone on its link.
+    /// Delay of each answer.
+    answer_delay_ms: u64,
+    /// Transfer time of rules over an otherwise idle link.
     rules_transfer_ms: u64,
-    /// Rules that are on their way, and that ever were.
     transfers: Transfers,
-    /// Silences so far: an answer that was due in one never comes.
+    /// Number of silences so far. A call that one interrupts is never answered.
     silences: u32,
     calls: u32,
     version: u64,
@@ -33,21 +32,21 @@
     endpoints: Vec<(u64, EndpointId, Option<ListedEndpoint>)>,
     /// Zones, and whether they are evacuated.
     evacuations: Vec<(u64, ZoneId, bool)>,
-    /// Rows that another writer made.
-    foreign: Vec<(Topic, UnreadableRow)>,
+    /// Rows that the gateway cannot read.
+    unreadable: Vec<(Topic, UnreadableRow)>,
     hosts: Vec<HostRow>,
-    /// Requests that hosts recorded.
+    /// Poison requests that hosts recorded.
     poison: Vec<PoisonRow>,
-    /// Orders to move pools to other builds, or that they were taken back.
+    /// Rollout orders; `None` for a withdrawn one.
     orders: Vec<RolloutOrderRow>,
-    /// How far rollouts have come, and each stage that was written.
+    /// Rollout records with their versions, and every stage that was written.
     records: BTreeMap<PoolId, (u64, RolloutRecord)>,
     stages: Vec<RolloutStage>,
-    /// The version up to which changes of the rules were taken.
-    rules_taken: u64,
+    /// Highest version after which a host asked for changes of the rules.
+    rules_fetched: u64,
 }
 
-fn foreign(version: u64, key: &str) -> UnreadableRow {
+fn unreadable_row(version: u64, key: &str) -> UnreadableRow {
     UnreadableRow {
         version: StoreVersion(version),
         key: key.into(),
@@ -56,14 +55,14 @@
     }
 }
 
-/// Transfers of rules, which share one link evenly.
+/// Counts of transfers of rules, which share one link evenly.
 #[derive(Default)]
 struct Transfers {
-    begun: u32,
+    started: u32,
     running: u32,
 }
 
-/// A transfer that has begun; it ends when this is dropped.
+/// A running transfer; it ends when this is dropped.
 struct Transfer(TestSource);
 
 impl Drop for Transfer {
@@ -72,8 +71,8 @@
     }
 }
 
-/// What a platform held.
-pub(crate) struct Copied {
+/// A copy of the content of a store.
+pub(crate) struct Snapshot {
     version: u64,
     rules: Option<(u64, RulesDocument)>,
     endpoints: Vec<(u64, EndpointId, Option<ListedEndpoint>)>,
@@ -81,13 +80,13 @@
     poison: Vec<PoisonRow>,
 }
 
-/// A platform that several gateways may share.
+/// A store that several gateways can share.
 #[derive(Clone)]
 pub(crate) struct TestSource {
     state: Arc<Mutex<State>>,
     changed: Arc<watch::Sender<u64>>,
-    /// Whether whoever has this handle is cut off.
-    is_cut: Arc<AtomicBool>,
+    /// Whether calls through this handle are never answered.
+    is_isolated: Arc<AtomicBool>,
 }
 
 impl Default for TestSource {
@@ -95,41 +94,43 @@
         Self {
             state: Arc::default(),
             changed: Arc::new(watch::channel(0).0),
-            is_cut: Arc::default(),
+            is_isolated: Arc::default(),
         }
     }
 }
 
 impl TestSource {
-    /// Comes back from a copy that an earlier `copy` made: what was written since is
-    /// gone, and numbers are given out again.
-    pub(crate) fn come_back(&self, copy: Copied) {
+    /// Restores a snapshot in a new era: later writes are lost and version numbers are
+    /// reused.
+    pub(crate) fn restore(&self, snapshot: Snapshot) {
         let mut state = self.lock();
         let era = StoreVersion(state.version).era() + 1;
         let in_era = |version: u64| {
             let number = StoreVersion(version).number();
             StoreVersion::in_era(era, number).0
         };
-        state.rules = copy.rules.map(|(version, rules)| (in_era(version), rules));
-        let endpoints = copy.endpoints.into_iter();
+        state.rules = snapshot
+            .rules
+            .map(|(version, rules)| (in_era(version), rules));
+        let endpoints = snapshot.endpoints.into_iter();
         state.endpoints = endpoints
             .map(|(version, name, row)| (in_era(version), name, row))
             .collect();
-        let evacuations = copy.evacuations.into_iter();
+        let evacuations = snapshot.evacuations.into_iter();
         state.evacuations = evacuations
             .map(|(version, zone, is_evacuated)| (in_era(version), zone, is_evacuated))
             .collect();
-        state.poison = copy.poison;
-        state.version = in_era(copy.version);
+        state.poison = snapshot.poison;
+        state.version = in_era(snapshot.version);
         let version = state.version;
         drop(state);
         self.changed.send_replace(version);
     }
 
-    /// A copy of what it holds.
-    pub(crate) fn copy(&self) -> Copied {
+    /// Returns a copy of the content.
+    pub(crate) fn snapshot(&self) -> Snapshot {
         let state = self.lock();
-        Copied {
+        Snapshot {
             version: state.version,
             rules: state.rules.clone(),
             endpoints: state.endpoints.clone(),
@@ -138,27 +139,27 @@
         }
     }
 
-    /// The same platform for another host, which can be cut off by itself.
-    pub(crate) fn for_another(&self) -> Self {
+    /// Returns a handle to the same store that can be isolated separately.
+    pub(crate) fn handle_for_another_host(&self) -> Self {
         Self {
-            is_cut: Arc::default(),
+            is_isolated: Arc::default(),
             ..self.clone()
         }
     }
 
-    /// Cuts off whoever has this handle.
-    pub(crate) fn cut(&self) {
-        self.is_cut.store(true, Ordering::Relaxed);
+    /// Leaves all further calls through this handle unanswered.
+    pub(crate) fn isolate(&self) {
+        self.is_isolated.store(true, Ordering::Relaxed);
     }
 
-    /// Orders to move the tests' pool to a build.
-    pub(crate) fn order(&self, build: &str, within_ms: u64) {
+    /// Orders a rollout of a build to the pool `pool`.
+    pub(crate) fn order_rollout(&self, build: &str, within_ms: u64) {
         let build = build.into();
         self.put_order(Some(RolloutOrder { build, within_ms }));
     }
 
-    /// Takes the order back.
-    pub(crate) fn withdraw(&self) {
+    /// Withdraws the rollout order.
+    pub(crate) fn withdraw_rollout(&self) {
         self.put_order(None);
     }
 
@@ -172,12 +173,12 @@
         });
     }
 
-    /// The stages of the rollout so far, as they were written.
+    /// Returns all stages of the rollout in the order of their writes.
     pub(crate) fn stages(&self) -> Vec<RolloutStage> {
         self.lock().stages.clone()
     }
 
-    /// The record of the rollout.
+    /// Returns the record of the rollout.
     pub(crate) fn rollout(&self) -> Option<RolloutRecord> {
         let state = self.lock();
         let record = state.records.get(&PoolId::from("pool"));
@@ -188,38 +189,38 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets rules take so long on their way from now on, alone on the link.
+    /// Sets the transfer time of rules over an otherwise idle link.
     pub(crate) fn set_rules_transfer_ms(&self, transfer_ms: u64) {
         self.lock().rules_transfer_ms = transfer_ms;
     }
 
-    /// How often rules were sent on their way.
+    /// Returns the number of transfers of rules.
     pub(crate) fn rules_transfers(&self) -> u32 {
-        self.lock().transfers.begun
+        self.lock().transfers.started
     }
 
-    /// Sends an answer on its way, if it holds rules.
-    async fn transfer(&self, news: SourceUpdate, arrival: &Arrival) -> SourceUpdate {
+    /// Delays an answer that contains rules and records its arrival in steps.
+    async fn delay_transfer(&self, update: SourceUpdate, arrival: &Arrival) -> SourceUpdate {
         const STEP_MS: u64 = 10;
         const STEP_BYTES: usize = 1_000;
-        let holds_rules = news.rows.iter().any(|row| matches!(row, Row::Rules(_)));
+        let holds_rules = update.rows.iter().any(|row| matches!(row, Row::Rules(_)));
         let transfer_ms = self.lock().rules_transfer_ms;
         if !holds_rules || transfer_ms == 0 {
-            return news;
+            return update;
         }
-        let _ends_when_dropped = self.begin_transfer();
-        let mut left_ms = transfer_ms as f64;
-        while left_ms > 0.0 {
+        let _ends_when_dropped = self.start_transfer();
+        let mut remaining_ms = transfer_ms as f64;
+        while remaining_ms > 0.0 {
             tokio::time::sleep(std::time::Duration::from_millis(STEP_MS)).await;
             arrival.record(STEP_BYTES);
-            left_ms -= STEP_MS as f64 / f64::from(self.lock().transfers.running);
+            remaining_ms -= STEP_MS as f64 / f64::from(self.lock().transfers.running);
         }
-        news
+        update
     }
 
-    fn begin_transfer(&self) -> Transfer {
+    fn start_transfer(&self) -> Transfer {
         let mut state = self.lock();
-        state.transfers.begun += 1;
+        state.transfers.started += 1;
         state.transfers.running += 1;
         Transfer(self.clone())
     }
@@ -233,57 +234,58 @@
         self.changed.send_replace(version);
     }
 
-    /// Puts rules into force.
+    /// Writes rules.
     pub(crate) fn set_rules(&self, rules: RulesDocument) {
         self.change(|state, version| {
-            state.foreign.retain(|(topic, _)| *topic != Topic::Rules);
+            state.unreadable.retain(|(topic, _)| *topic != Topic::Rules);
             state.rules = Some((version, rules));
         });
     }
 
-    /// Another writer overwrites the rules.
-    pub(crate) fn spoil_rules(&self) {
+    /// Replaces the rules by a row that the gateway cannot read.
+    pub(crate) fn corrupt_rules(&self) {
         self.change(|state, version| {
             state.rules = None;
             state
-                .foreign
-                .push((Topic::Rules, foreign(version, "rules")));
+                .unreadable
+                .push((Topic::Rules, unreadable_row(version, "rules")));
         });
     }
 
-    /// Another writer makes an endpoint's row, or overwrites it.
-    pub(crate) fn spoil(&self, name: &str) {
+    /// Replaces or adds an endpoint's row that the gateway cannot read.
+    pub(crate) fn corrupt_endpoint(&self, name: &str) {
         self.change(|state, version| {
             state
                 .endpoints
                 .retain(|(_, known, _)| known.as_str() != name);
             state
-                .foreign
-                .push((Topic::Endpoints, foreign(version, name)));
+                .unreadable
+                .push((Topic::Endpoints, unreadable_row(version, name)));
         });
     }
 
-    /// Whether a gateway has taken the rules that were set last, be it to
-    /// disregard them.
-    pub(crate) fn are_rules_taken(&self) -> bool {
+    /// Returns whether a host has fetched the current rules, even if it ignores them.
+    pub(crate) fn are_rules_fetched(&self) -> bool {
         let state = self.lock();
-        let set = state.rules.as_ref().map(|(version, _)| *version);
-        set.is_some_and(|version| state.rules_taken >= version)
+        let current = state.rules.as_ref().map(|(version, _)| *version);
+        current.is_some_and(|version| state.rules_fetched >= version)
     }
 
-    /// Lists an endpoint, new or changed.
+    /// Adds or replaces an endpoint in the list.
     pub(crate) fn list(&self, endpoint: Endpoint) {
         self.list_cold(endpoint, 0);
     }
 
-    /// Lists an endpoint that is cold for so long.
+    /// Adds or replaces an endpoint that stays cold for a time.
     pub(crate) fn list_cold(&self, endpoint: Endpoint, cold_left_ms: u64) {
         self.change(|state, version| {
             state
                 .endpoints
                 .retain(|(_, name, _)| *name != endpoint.name);
             let name = endpoint.name.clone();
-            state.foreign.retain(|(_, row)| *row.key != *name.as_str());
+            state
+                .unreadable
+                .retain(|(_, row)| *row.key != *name.as_str());
             let listed = ListedEndpoint {
                 endpoint,
                 cold_left_ms,
@@ -292,7 +294,7 @@
         });
     }
 
-    /// Evacuates a zone, or takes it back.
+    /// Evacuates a zone, or ends its evacuation.
     pub(crate) fn evacuate(&self, zone: &str, is_evacuated: bool) {
         self.change(|state, version| {
             let zone = ZoneId::from(zone);
@@ -301,7 +303,7 @@
         });
     }
 
-    /// Lists an endpoint no longer.
+    /// Removes an endpoint from the list.
     pub(crate) fn unlist(&self, name: &EndpointId) {
         self.change(|state, version| {
             state.endpoints.retain(|(_, known, _)| known != name);
@@ -309,78 +311,77 @@
         });
     }
 
-    /// Answers nothing from now on, or answers again.
-    pub(crate) fn set_down(&self, is_down: bool) {
-        self.change(|state, _| state.is_down = is_down);
+    /// Answers all calls with an error, or answers again.
+    pub(crate) fn set_unavailable(&self, is_unavailable: bool) {
+        self.change(|state, _| state.is_unavailable = is_unavailable);
     }
 
-    /// Leaves calls unanswered from now on, those that wait among them for
-    /// ever, or answers new ones again.
+    /// Leaves waiting and new calls unanswered, or answers new calls again.
     pub(crate) fn set_silent(&self, is_silent: bool) {
         let mut state = self.lock();
         state.is_silent = is_silent;
         state.silences += u32::from(is_silent);
     }
 
-    /// Takes so long for each answer from now on.
-    pub(crate) fn set_slow(&self, answer_ms: u64) {
+    /// Delays each answer.
+    pub(crate) fn set_answer_delay_ms(&self, answer_delay_ms: u64) {
         let mut state = self.lock();
-        state.answer_ms = answer_ms;
+        state.answer_delay_ms = answer_delay_ms;
     }
 
-    /// Requests that are recorded to be sent no further.
+    /// Returns the number of recorded poison requests.
     pub(crate) fn poison_rows(&self) -> usize {
         self.lock().poison.len()
     }
 
-    /// Calls so far, answered or not.
+    /// Returns the number of calls, answered or not.
     pub(crate) fn calls(&self) -> u32 {
         let state = self.lock();
         state.calls
     }
 
-    /// A call arrives; it is never answered if that is in a silence. Returns
-    /// how many there were.
-    async fn arrive(&self) -> u32 {
-        if self.is_cut.load(Ordering::Relaxed) {
+    /// Counts and delays a call, for ever during a silence. Returns the number of
+    /// silences so far.
+    async fn begin_call(&self) -> u32 {
+        if self.is_isolated.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
-        let (is_silent, silences, answer_ms) = {
+        let (is_silent, silences, answer_delay_ms) = {
             let mut state = self.lock();
             state.calls += 1;
-            (state.is_silent, state.silences, state.answer_ms)
+            (state.is_silent, state.silences, state.answer_delay_ms)
         };
         if is_silent {
             std::future::pending::<()>().await;
         }
-        if answer_ms > 0 {
-            tokio::time::sleep(std::time::Duration::from_millis(answer_ms)).await;
+        if answer_delay_ms > 0 {
+            tokio::time::sleep(std::time::Duration::from_millis(answer_delay_ms)).await;
         }
         silences
     }
 
-    /// An answer is due: it is lost if a silence came since the call did.
-    async fn answer(&self, silences: u32) {
-        let is_lost = {
+    /// Never returns if a silence began during the call.
+    async fn finish_call(&self, silences: u32) {
+        let is_interrupted = {
             let state = self.lock();
             state.silences != silences
         };
-        if is_lost {
+        if is_interrupted {
             std::future::pending::<()>().await;
         }
     }
 
-    /// What it holds, unless it is switched off.
-    fn answering(&self) -> Result<MutexGuard<'_, State>, SourceError> {
+    /// Returns the content, or an error while the store is unavailable.
+    fn available_state(&self) -> Result<MutexGuard<'_, State>, SourceError> {
         let state = self.lock();
-        if state.is_down {
+        if state.is_unavailable {
             return Err(SourceError::Unavailable("switched off".to_owned()));
         }
         Ok(state)
     }
 
     fn rows(&self, topic: Topic, since: Option<u64>) -> Result<SourceUpdate, SourceError> {
-        let state = self.answering()?;
+        let state = self.available_state()?;
         let era = StoreVersion(state.version).era();
         if since.is_some_and(|since| StoreVersion(since).era() != era) {
             return Err(SourceError::HistoryGone);
@@ -393,9 +394,10 @@
                     rows.push(Row::Rules(Box::new(rules.clone())));
                 }
                 let evacuations = state.evacuations.iter().filter(|row| is_new(row.0));
-                let is_whole = since.is_none();
-                let named = evacuations.filter(|(_, _, is_evacuated)| *is_evacuated || !is_whole);
-                rows.extend(named.map(|(version, zone, is_evacuated)| {
+                let is_snapshot = since.is_none();
+                let visible =
+                    evacuations.filter(|(_, _, is_evacuated)| *is_evacuated || !is_snapshot);
+                rows.extend(visible.map(|(version, zone, is_evacuated)| {
                     Row::Evacuation(EvacuationRow {
                         version: StoreVersion(*version),
                         zone: zone.clone(),
@@ -403,8 +405,8 @@
                     })
                 }));
                 let orders = state.orders.iter().filter(|row| is_new(row.version.0));
-                let named = orders.filter(|row| row.order.is_some() || !is_whole);
-                rows.extend(named.cloned().map(Row::Rollout));
+                let visible = orders.filter(|row| row.order.is_some() || !is_snapshot);
+                rows.extend(visible.cloned().map(Row::Rollout));
             }
             Topic::Endpoints => {
                 for (version, name, endpoint) in state.endpoints.iter().filter(|e| is_new(e.0)) {
@@ -417,9 +419,9 @@
                 }
             }
         }
-        let foreign = state.foreign.iter();
-        let foreign = foreign.filter(|(of, row)| *of == topic && is_new(row.version.0));
-        rows.extend(foreign.map(|(_, row)| Row::Unreadable(row.clone())));
+        let unreadable = state.unreadable.iter();
+        let unreadable = unreadable.filter(|(of, row)| *of == topic && is_new(row.version.0));
+        rows.extend(unreadable.map(|(_, row)| Row::Unreadable(row.clone())));
         Ok(SourceUpdate {
             version: StoreVersion(state.version),
             rows,
@@ -429,9 +431,9 @@
 
 impl Source for TestSource {
     async fn read(&self, topic: Topic, arrival: &Arrival) -> Result<SourceUpdate, SourceError> {
-        self.arrive().await;
-        let news = self.rows(topic, None)?;
-        Ok(self.transfer(news, arrival).await)
+        self.begin_call().await;
+        let update = self.rows(topic, None)?;
+        Ok(self.delay_transfer(update, arrival).await)
     }
 
     async fn changes(
@@ -441,34 +443,34 @@
         wait_ms: u64,
         arrival: &Arrival,
     ) -> Result<SourceUpdate, SourceError> {
-        let silences = self.arrive().await;
+        let silences = self.begin_call().await;
         if topic == Topic::Rules {
             let mut state = self.lock();
-            state.rules_taken = state.rules_taken.max(since.0);
+            state.rules_fetched = state.rules_fetched.max(since.0);
         }
         let mut changed = self.changed.subscribe();
-        let news = self.rows(topic, Some(since.0))?;
-        if !news.rows.is_empty() {
-            return Ok(self.transfer(news, arrival).await);
+        let update = self.rows(topic, Some(since.0))?;
+        if !update.rows.is_empty() {
+            return Ok(self.delay_transfer(update, arrival).await);
         }
         let wait = std::time::Duration::from_millis(wait_ms);
-        let _nothing_may_change = tokio::time::timeout(wait, changed.changed()).await;
-        self.answer(silences).await;
-        let news = self.rows(topic, Some(since.0))?;
-        Ok(self.transfer(news, arrival).await)
+        let _may_time_out = tokio::time::timeout(wait, changed.changed()).await;
+        self.finish_call(silences).await;
+        let update = self.rows(topic, Some(since.0))?;
+        Ok(self.delay_transfer(update, arrival).await)
     }
 
-    async fn join(&self, own: &HostRow) -> Result<Vec<HostRow>, SourceError> {
-        let mut state = self.answering()?;
+    async fn join(&self, host: &HostRow) -> Result<Vec<HostRow>, SourceError> {
+        let mut state = self.available_state()?;
         state
             .hosts
-            .retain(|row| row.peer_address != own.peer_address);
-        state.hosts.push(own.clone());
+            .retain(|row| row.peer_address != host.peer_address);
+        state.hosts.push(host.clone());
         Ok(state.hosts.clone())
     }
 
     async fn poison(&self) -> Result<Vec<PoisonRow>, SourceError> {
-        let state = self.answering()?;
+        let state = self.available_state()?;
         Ok(state.poison.clone())
     }
 
@@ -477,7 +479,7 @@
         add: &[PoisonRow],
         remove: &[RequestFingerprint],
     ) -> Result<(), SourceError> {
-        let mut state = self.answering()?;
+        let mut state = self.available_state()?;
         let is_kept = |row: &PoisonRow| {
             !remove.contains(&row.request) && add.iter().all(|added| added.request != row.request)
         };
@@ -492,13 +494,13 @@
         record: &RolloutRecord,
         replaces: StoreVersion,
     ) -> Result<RolloutWrite, SourceError> {
-        self.arrive().await;
-        let mut state = self.answering()?;
-        let known = state.records.get(pool);
-        if let Some((version, there)) = known.filter(|(version, _)| *version != replaces.0) {
+        self.begin_call().await;
+        let mut state = self.available_state()?;
+        let stored = state.records.get(pool);
+        if let Some((version, current)) = stored.filter(|(version, _)| *version != replaces.0) {
             return Ok(RolloutWrite::Conflict {
                 version: StoreVersion(*version),
-                record: Some(there.clone()),
+                record: Some(current.clone()),
             });
         }
         state.version += 1;
--- a/crates/gateway/tests/gateway/support/suspendable.rs
+++ b/crates/gateway/tests/gateway/support/suspendable.rs
@@ -1,4 +1,4 @@
-//! A gateway that can be made to stand still, as when its machine is suspended.
+//! A gateway that a test can block, as a suspension of its host does.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,52 +12,59 @@
 use super::fleet::config;
 use super::{Script, TestEdge, TestGateway, TestSource};
 
-/// A clock that counts suspensions, which the test makes.
+/// A boot-time clock to which the test adds suspensions.
 #[derive(Debug)]
-struct SuspendedClock {
+struct TestClock {
     started: Instant,
     suspended_ms: AtomicU64,
 }
 
-impl HostClock for SuspendedClock {
+impl HostClock for TestClock {
     fn since_boot(&self) -> Duration {
         let suspended = Duration::from_millis(self.suspended_ms.load(Ordering::Relaxed));
         self.started.elapsed() + suspended
     }
 }
 
-/// A gateway on a thread of its own.
+/// A gateway on its own thread.
 pub(crate) struct SuspendableGateway {
     pub(crate) gateway: TestGateway,
-    clock: Arc<SuspendedClock>,
-    stand_still: mpsc::UnboundedSender<Duration>,
+    clock: Arc<TestClock>,
+    block_sender: mpsc::UnboundedSender<Duration>,
 }
 
 impl SuspendableGateway {
-    /// Starts one whose platform answers nothing.
+    /// Starts a gateway whose store is unavailable.
     pub(crate) async fn start(host: &str, seeds: Vec<SocketAddr>) -> Self {
         let source = TestSource::default();
-        source.set_down(true);
-        let clock = Arc::new(SuspendedClock {
+        source.set_unavailable(true);
+        let clock = Arc::new(TestClock {
             started: Instant::now(),
             suspended_ms: AtomicU64::new(0),
         });
         let config = config("zone-a", host, seeds);
         let config = config.host_clock(clock.clone()).build();
-        let (stop, asked) = stop_pair();
-        let (stand_still, mut still) = mpsc::unbounded_channel();
+        let (stop, stop_requested) = stop_pair();
+        let (block_sender, mut blocks) = mpsc::unbounded_channel();
         let (started, running) = tokio::sync::oneshot::channel();
-        let of_thread = source.clone();
+        let thread_source = source.clone();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread();
             let runtime = { runtime }.enable_all().build().expect("a runtime");
             runtime.block_on(async move {
                 let (_, reloads) = mpsc::channel(1);
-                let gateway = start(config, Box::new(TestEdge), of_thread, asked, reloads).await;
-                let _the_test_may_be_over = started.send(gateway.expect("the gateway starts"));
-                while let Some(length) = still.recv().await {
-                    // Holds up all tasks of the gateway.
-                    std::thread::sleep(length);
+                let gateway = start(
+                    config,
+                    Box::new(TestEdge),
+                    thread_source,
+                    stop_requested,
+                    reloads,
+                )
+                .await;
+                let _test_may_have_ended = started.send(gateway.expect("the gateway starts"));
+                while let Some(duration) = blocks.recv().await {
+                    // Blocks all tasks of the gateway.
+                    std::thread::sleep(duration);
                 }
             });
         });
@@ -71,21 +78,21 @@
         Self {
             gateway,
             clock,
-            stand_still,
+            block_sender,
         }
     }
 
-    /// Stands still for so long from now on; the steady clock counts it.
-    pub(crate) fn stop_for(&self, length: Duration) {
-        let sent = self.stand_still.send(length);
+    /// Blocks the gateway's thread for a time, which the steady clock counts.
+    pub(crate) fn block_for(&self, duration: Duration) {
+        let sent = self.block_sender.send(duration);
         sent.expect("the gateway runs");
     }
 
-    /// The steady clock does not count so much of a time in which it stands still.
-    pub(crate) fn suspend_for(&self, length: Duration) {
-        let length_ms = length.as_millis() as u64;
+    /// Adds a suspension that the steady clock does not count.
+    pub(crate) fn add_suspension(&self, duration: Duration) {
+        let duration_ms = duration.as_millis() as u64;
         self.clock
             .suspended_ms
-            .fetch_add(length_ms, Ordering::Relaxed);
+            .fetch_add(duration_ms, Ordering::Relaxed);
     }
 }
--- a/crates/gateway/tests/gateway/suspensions.rs
+++ b/crates/gateway/tests/gateway/suspensions.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, SuspendableGateway, TestGateway, TestSource, figure,
-    rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, SuspendableGateway, TestGateway, TestSource,
+    metric_value, rules, until,
 };
 use chalkrock_core::Endpoint;
 use googletest::prelude::*;
@@ -31,18 +31,18 @@
         source.set_rules(rules(1));
         let mut endpoints = Vec::new();
         for name in ["endpoint-0", "endpoint-1"] {
-            let usual = Behaviour::Answer;
+            let behaviour = Behaviour::Answer;
             let mut endpoint =
-                ScriptedEndpoint::start(name, "pool", usual, Script::default()).await;
+                ScriptedEndpoint::start(name, "pool", behaviour, Script::default()).await;
             endpoint.endpoint.zone = name.into();
             source.list(endpoint.endpoint.clone());
             endpoints.push(endpoint);
         }
-        let reader = TestGateway::with(source.clone(), "reader", Vec::new()).await;
+        let reader = TestGateway::start(source.clone(), "reader", Vec::new()).await;
         reader.ready().await;
         let host = SuspendableGateway::start("host", vec![reader.peer_address()]).await;
-        until(async || figure(&host.gateway, "endpoints_live").await == 2.0).await;
-        until(async || figure(&host.gateway, "peers_heard").await == 1.0).await;
+        until(async || metric_value(&host.gateway, "endpoints_live").await == 2.0).await;
+        until(async || metric_value(&host.gateway, "peers_heard").await == 1.0).await;
         Self {
             source,
             reader,
@@ -55,15 +55,15 @@
     /// before it wakes, and `uncounted` of it not be counted by the steady clock.
     /// Returns what the first request gets, sent while the host stands still.
     async fn after(&self, still: Duration, uncounted: Duration, change: impl FnOnce(&Self)) -> u16 {
-        let version = async || figure(&self.reader, "endpoints_version").await;
-        let rules = async || figure(&self.reader, "rules_version").await;
-        let evacuated = async || figure(&self.reader, "evacuated_zones").await;
+        let version = async || metric_value(&self.reader, "endpoints_version").await;
+        let rules = async || metric_value(&self.reader, "rules_version").await;
+        let evacuated = async || metric_value(&self.reader, "evacuated_zones").await;
         let before = (version().await, rules().await, evacuated().await);
-        self.host.stop_for(still);
+        self.host.block_for(still);
         tokio::time::sleep(Duration::from_millis(20)).await;
         change(self);
         until(async || (version().await, rules().await, evacuated().await) != before).await;
-        self.host.suspend_for(uncounted);
+        self.host.add_suspension(uncounted);
         let call = Call::get("/safe/").id("woken");
         self.host.gateway.call(call).await.status
     }
@@ -89,7 +89,10 @@
         let change = |pair: &Pair| pair.source.set_rules(newer);
         let status = pair.after(still, uncounted, change).await;
         assert_that!(status, eq(404), "{uncounted:?}");
-        assert_that!(figure(&pair.host.gateway, "pauses_total").await, ge(1.0));
+        assert_that!(
+            metric_value(&pair.host.gateway, "pauses_total").await,
+            ge(1.0)
+        );
     }
 }
 
@@ -142,17 +145,17 @@
         (Duration::from_secs(4), Duration::ZERO),
     ] {
         let pair = Pair::start().await;
-        pair.host.stop_for(still);
+        pair.host.block_for(still);
         tokio::time::sleep(Duration::from_millis(20)).await;
-        pair.host.suspend_for(uncounted);
+        pair.host.add_suspension(uncounted);
         assert_that!(pair.ask().await, eq(200));
         // Until it heard of an answer after it woke.
         tokio::time::sleep(Duration::from_millis(400)).await;
         pair.source.unlist(&pair.endpoints[0].endpoint.name);
-        let version = async |gateway| figure(gateway, "endpoints_version").await;
+        let version = async |gateway| metric_value(gateway, "endpoints_version").await;
         until(async || version(&pair.reader).await == 4.0).await;
         until(async || version(&pair.host.gateway).await == 4.0).await;
-        let live = figure(&pair.host.gateway, "endpoints_live").await;
+        let live = metric_value(&pair.host.gateway, "endpoints_live").await;
         assert_that!(live, eq(1.0), "{uncounted:?}");
     }
 }
@@ -163,11 +166,11 @@
     let pair = Pair::start().await;
     pair.endpoints
         .iter()
-        .for_each(|endpoint| endpoint.usually(Behaviour::Silent));
+        .for_each(|endpoint| endpoint.set_behaviour(Behaviour::Silent));
     let address = pair.host.gateway.running.front_address();
     let call = Call::get("/unsafe/").id("waits").header("deadline", "2900");
     let waiting = tokio::spawn(async move {
-        let status = call.to(address).await.status;
+        let status = call.exchange(address).await.status;
         (status, Instant::now())
     });
     until(async || {
@@ -176,8 +179,8 @@
             .any(|endpoint| endpoint.arrivals() > 0)
     })
     .await;
-    pair.host.stop_for(STILL);
-    pair.host.suspend_for(SUSPENSIONS[1]);
+    pair.host.block_for(STILL);
+    pair.host.add_suspension(SUSPENSIONS[1]);
     let suspended_at = Instant::now();
     let (status, ended_at) = waiting.await.expect("an answer");
     assert_that!(status, eq(504));
@@ -194,10 +197,18 @@
     let pair = Pair::start().await;
     pair.reader.stop.stop();
     pair.reader.running.ended().await;
-    pair.host.stop_for(STILL);
-    pair.host.suspend_for(SUSPENSIONS[1]);
+    pair.host.block_for(STILL);
+    pair.host.add_suspension(SUSPENSIONS[1]);
     let address = pair.host.gateway.running.front_address();
-    until(async || Call::get("/safe/").id("alone").to(address).await.status == 200).await;
+    until(async || {
+        Call::get("/safe/")
+            .id("alone")
+            .exchange(address)
+            .await
+            .status
+            == 200
+    })
+    .await;
 }
 
 /// A host that stood still in its first 0.2 s went by what it had learned before: it had
@@ -205,8 +216,8 @@
 /// rules failed by that in 2 of 12 runs beside each other.
 #[tokio::test]
 async fn pauses_show_from_the_start_on() {
-    let reader = TestGateway::serving(rules(1)).await;
+    let reader = TestGateway::with_rules(rules(1)).await;
     let host = SuspendableGateway::start("host", vec![reader.peer_address()]).await;
-    host.stop_for(STOPPED);
-    until(async || figure(&host.gateway, "pauses_total").await >= 1.0).await;
+    host.block_for(STOPPED);
+    until(async || metric_value(&host.gateway, "pauses_total").await >= 1.0).await;
 }
