--- a/crates/gateway/tests/gateway/rollouts.rs
+++ b/crates/gateway/tests/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! Moving a pool to endpoints of another build, with several hosts over loopback.
+//! Rollouts of a new build to a pool, with several hosts.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// The time that operators give.
-const WITHIN_MS: u64 = 5_000;
+/// Deadline in the rollout order.
+const DEADLINE_MS: u64 = 5_000;
 const OLD: &str = "v1";
 const NEW: &str = "v2";
-/// Pause between two requests at one host: 200 a second over three.
-const PAUSE: Duration = Duration::from_millis(15);
+/// Time between two requests to one host: 200 a second in total.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Endpoints of two builds, and hosts before them.
+/// Hosts and endpoints of two builds.
 struct RolloutFleet {
     source: TestSource,
     hosts: Vec<TestGateway>,
@@ -26,7 +26,7 @@
     new: Vec<ScriptedEndpoint>,
 }
 
-/// An endpoint's entry, with the software that it runs.
+/// Returns an endpoint's list entry with its build.
 fn entry(endpoint: &ScriptedEndpoint, build: &str) -> Endpoint {
     Endpoint {
         build: build.into(),
@@ -45,7 +45,7 @@
 }
 
 impl RolloutFleet {
-    /// Three hosts before four endpoints of the old build.
+    /// Starts three hosts and four endpoints of the old build.
     async fn start() -> Self {
         const HOSTS: usize = 3;
         const ENDPOINTS: usize = 4;
@@ -58,12 +58,12 @@
         let mut hosts: Vec<TestGateway> = Vec::new();
         for i in 0..HOSTS {
             let seeds = hosts.iter().map(TestGateway::peer_address).collect();
-            let own = source.handle_for_another_host();
-            let host = TestGateway::start(own, &format!("host-{i}"), seeds).await;
+            let handle = source.handle_for_another_host();
+            let host = TestGateway::start(handle, &format!("host-{i}"), seeds).await;
             host.ready().await;
             hosts.push(host);
         }
-        // Until all have heard each other and may go by what runs in the fleet.
+        // Until all hosts count the requests of the fleet.
         tokio::time::sleep(Duration::from_millis(2_200)).await;
         Self {
             source,
@@ -73,34 +73,33 @@
         }
     }
 
-    /// Orders the new build, whose endpoints start beside the old ones.
+    /// Orders the rollout and starts endpoints of the new build.
     async fn order(&mut self, behaviour: Behaviour) {
-        self.source.order_rollout(NEW, WITHIN_MS);
+        self.source.order_rollout(NEW, DEADLINE_MS);
         self.new = endpoints(NEW, self.old.len(), behaviour).await;
         for endpoint in &self.new {
             self.source.list(entry(endpoint, NEW));
         }
     }
 
-    /// Sends requests to all hosts until this is aborted. The task brings how many were
-    /// not answered with 200.
+    /// Sends requests to all hosts until the tasks are aborted.
     fn load(&self) -> Vec<JoinHandle<()>> {
         let hosts = self.hosts.iter().enumerate();
         hosts
-            .map(|(at, host)| {
+            .map(|(i, host)| {
                 let address = host.running.front_address();
                 tokio::spawn(async move {
                     for number in 0.. {
-                        let call = Call::get("/safe/").id(&format!("r-{at}-{number}"));
+                        let call = Call::get("/safe/").id(&format!("r-{i}-{number}"));
                         tokio::spawn(async move { call.exchange(address).await });
-                        tokio::time::sleep(PAUSE).await;
+                        tokio::time::sleep(REQUEST_INTERVAL).await;
                     }
                 })
             })
             .collect()
     }
 
-    async fn comes_to(&self, stage: RolloutStage) {
+    async fn until_stage(&self, stage: RolloutStage) {
         until(async || self.source.stages().last() == Some(&stage)).await;
     }
 
@@ -112,8 +111,8 @@
         self.old.iter().map(ScriptedEndpoint::arrivals).sum()
     }
 
-    /// Requests that reach the old and the new build in a while.
-    async fn reached_meanwhile(&self) -> (usize, usize) {
+    /// Returns how many requests reach the old and the new build in 400 ms.
+    async fn arrivals_in_window(&self) -> (usize, usize) {
         let before = (self.old_arrivals(), self.new_arrivals());
         tokio::time::sleep(Duration::from_millis(400)).await;
         (
@@ -123,7 +122,7 @@
     }
 }
 
-fn stop(load: Vec<JoinHandle<()>>) {
+fn stop_load(load: Vec<JoinHandle<()>>) {
     load.into_iter().for_each(|task| task.abort());
 }
 
@@ -133,13 +132,17 @@
     let load = fleet.load();
     let ordered_at = Instant::now();
     fleet.order(Behaviour::AnswerAfter(20)).await;
-    fleet.comes_to(RolloutStage::Moving).await;
-    let tried = fleet.new_arrivals();
-    let all = tried + fleet.old_arrivals();
-    assert_that!(tried, le(all / 10), "of {all} before all moved");
-    fleet.comes_to(RolloutStage::Done).await;
-    assert_that!(ordered_at.elapsed(), le(Duration::from_millis(WITHIN_MS)));
-    let (old, new) = fleet.reached_meanwhile().await;
+    fleet.until_stage(RolloutStage::Moving).await;
+    let canary_arrivals = fleet.new_arrivals();
+    let total = canary_arrivals + fleet.old_arrivals();
+    assert_that!(
+        canary_arrivals,
+        le(total / 10),
+        "of {total} before all moved"
+    );
+    fleet.until_stage(RolloutStage::Done).await;
+    assert_that!(ordered_at.elapsed(), le(Duration::from_millis(DEADLINE_MS)));
+    let (old, new) = fleet.arrivals_in_window().await;
     assert_that!(old, eq(0), "the old build gets nothing once it is done");
     assert_that!(new, gt(20));
     let stages = [
@@ -148,10 +151,10 @@
         RolloutStage::Done,
     ];
     assert_that!(fleet.source.stages(), eq(&stages));
-    stop(load);
+    stop_load(load);
 }
 
-/// A build that fails part of its requests, or is slow, is left after few.
+/// A build that fails or is slow must receive few requests.
 #[tokio::test]
 async fn rollout_of_a_bad_build_is_rolled_back_after_few_requests() {
     for bad in [
@@ -162,7 +165,7 @@
         let mut fleet = RolloutFleet::start().await;
         let load = fleet.load();
         fleet.order(bad.clone()).await;
-        fleet.comes_to(RolloutStage::RolledBack).await;
+        fleet.until_stage(RolloutStage::RolledBack).await;
         let record = fleet.source.rollout();
         assert_that!(
             record.map(|record| record.reason),
@@ -170,32 +173,33 @@
             "{bad:?}"
         );
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let all = fleet.new_arrivals() + fleet.old_arrivals();
-        assert_that!(fleet.new_arrivals(), le(all / 10), "{bad:?}: of {all}");
-        let (old, new) = fleet.reached_meanwhile().await;
+        let total = fleet.new_arrivals() + fleet.old_arrivals();
+        assert_that!(fleet.new_arrivals(), le(total / 10), "{bad:?}: of {total}");
+        let (old, new) = fleet.arrivals_in_window().await;
         assert_that!(new, eq(0), "{bad:?}");
         assert_that!(old, gt(20), "{bad:?}");
-        stop(load);
+        stop_load(load);
     }
 }
 
-/// A build that turns bad once all traffic has moved to it is left as well.
+/// A build may also become bad after the traffic has moved to it.
 #[tokio::test]
 async fn rollout_of_a_build_that_turns_bad_late_is_rolled_back() {
     let mut fleet = RolloutFleet::start().await;
     let load = fleet.load();
     fleet.order(Behaviour::AnswerAfter(20)).await;
-    fleet.comes_to(RolloutStage::Moving).await;
+    fleet.until_stage(RolloutStage::Moving).await;
     let moved_at = Instant::now();
     for endpoint in &fleet.new {
         endpoint.set_behaviour(Behaviour::Fail);
     }
-    fleet.comes_to(RolloutStage::RolledBack).await;
+    fleet.until_stage(RolloutStage::RolledBack).await;
     assert_that!(moved_at.elapsed(), le(Duration::from_millis(1_500)));
-    stop(load);
+    stop_load(load);
 }
 
-/// Nothing is stopped while requests run at the old endpoints.
+/// A rollout must not be done while requests run at old endpoints, which may be stopped
+/// from then on.
 #[tokio::test]
 async fn rollout_waits_for_requests_that_run_at_old_endpoints() {
     let mut fleet = RolloutFleet::start().await;
@@ -204,8 +208,8 @@
         endpoint.set_behaviour(Behaviour::AnswerAfter(20));
     }
     fleet.order(Behaviour::AnswerAfter(20)).await;
-    fleet.comes_to(RolloutStage::Canary).await;
-    // One of them runs for long; whichever endpoint it is at.
+    fleet.until_stage(RolloutStage::Canary).await;
+    // A long request runs at one of the old endpoints.
     fleet
         .old
         .iter()
@@ -218,23 +222,22 @@
         .old
         .iter()
         .for_each(|endpoint| endpoint.set_behaviour(Behaviour::AnswerAfter(20)));
-    fleet.comes_to(RolloutStage::Done).await;
+    fleet.until_stage(RolloutStage::Done).await;
     assert_that!(
         long.is_finished(),
         eq(true),
         "done while a request ran at an old endpoint"
     );
     assert_that!(long.await.expect("an answer").status, eq(200));
-    stop(load);
+    stop_load(load);
 }
 
-/// Old endpoints that are idle for a moment may be sent the next request of a route that
-/// has not moved: a rollout was called done, and they may stop at once from then on.
+/// Old endpoints that are idle may still receive requests of a route that has not moved.
 #[tokio::test]
 async fn rollout_is_not_done_before_its_last_route_has_moved() {
     const LONG_MS: u64 = 2_000;
     let mut fleet = RolloutFleet::start().await;
-    // A route with long requests, which moves early; the other moves late.
+    // The route with long requests moves early, the other one late.
     let set_behaviour = |fleet: &RolloutFleet, ms| {
         let endpoints = fleet.old.iter();
         endpoints.for_each(|endpoint| endpoint.set_behaviour(Behaviour::AnswerAfter(ms)));
@@ -245,10 +248,10 @@
     set_behaviour(&fleet, 20);
     let load = fleet.load();
     fleet.order(Behaviour::AnswerAfter(20)).await;
-    fleet.comes_to(RolloutStage::Moving).await;
+    fleet.until_stage(RolloutStage::Moving).await;
     let moving = fleet.source.rollout().expect("a record");
-    stop(load);
-    fleet.comes_to(RolloutStage::Done).await;
+    stop_load(load);
+    fleet.until_stage(RolloutStage::Done).await;
     let done = fleet.source.rollout().expect("a record");
     let last_ms = moving.moves_ms.values().max().copied().expect("routes");
     assert_that!(
@@ -259,19 +262,19 @@
     assert_that!(done.age_ms, ge(last_ms));
 }
 
-/// Which host writes is not known beforehand: each is cut off in turn.
+/// Any of the hosts may be the writer, so each is isolated in turn.
 #[tokio::test]
 async fn rollout_goes_on_whichever_host_is_cut_off() {
-    for cut in 0..3 {
+    for isolated in 0..3 {
         let mut fleet = RolloutFleet::start().await;
         let load = fleet.load();
         fleet.order(Behaviour::AnswerAfter(20)).await;
-        fleet.comes_to(RolloutStage::Canary).await;
-        fleet.hosts[cut].source.isolate();
-        fleet.comes_to(RolloutStage::Done).await;
-        let (old, _) = fleet.reached_meanwhile().await;
-        assert_that!(old, eq(0), "host {cut} was told by the others");
-        stop(load);
+        fleet.until_stage(RolloutStage::Canary).await;
+        fleet.hosts[isolated].source.isolate();
+        fleet.until_stage(RolloutStage::Done).await;
+        let (old, _) = fleet.arrivals_in_window().await;
+        assert_that!(old, eq(0), "host {isolated} learns from its peers");
+        stop_load(load);
     }
 }
 
@@ -280,37 +283,39 @@
     let mut fleet = RolloutFleet::start().await;
     let load = fleet.load();
     fleet.order(Behaviour::Fail).await;
-    fleet.comes_to(RolloutStage::Canary).await;
+    fleet.until_stage(RolloutStage::Canary).await;
     fleet.source.set_unavailable(true);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     fleet.source.set_unavailable(false);
-    fleet.comes_to(RolloutStage::RolledBack).await;
-    stop(load);
+    fleet.until_stage(RolloutStage::RolledBack).await;
+    stop_load(load);
 }
 
-/// A host that starts anew knows of no record until it finds the one that is there.
+/// A host that restarts must go by the stored record and not begin the rollout again.
 #[tokio::test]
 async fn rollout_is_taken_up_by_hosts_that_have_all_restarted() {
     let mut fleet = RolloutFleet::start().await;
     let load = fleet.load();
     fleet.order(Behaviour::Fail).await;
-    fleet.comes_to(RolloutStage::RolledBack).await;
-    stop(load);
+    fleet.until_stage(RolloutStage::RolledBack).await;
+    stop_load(load);
     let written = fleet.source.stages().len();
     let source = fleet.source.handle_for_another_host();
-    let anew = TestGateway::start(source, "host-anew", Vec::new()).await;
-    anew.ready().await;
+    let restarted = TestGateway::start(source, "host-anew", Vec::new()).await;
+    restarted.ready().await;
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let before = fleet.new_arrivals();
     for i in 0..40 {
-        let answer = anew.call(Call::get("/safe/").id(&format!("a-{i}"))).await;
+        let answer = restarted
+            .call(Call::get("/safe/").id(&format!("a-{i}")))
+            .await;
         assert_that!(answer.status, eq(200));
     }
     assert_that!(fleet.new_arrivals(), eq(before));
     assert_that!(
         fleet.source.stages().len(),
         eq(written),
-        "a final word is the last"
+        "the final stage is not overwritten"
     );
 }
 
@@ -319,14 +324,14 @@
     let mut fleet = RolloutFleet::start().await;
     let load = fleet.load();
     fleet.order(Behaviour::AnswerAfter(20)).await;
-    fleet.comes_to(RolloutStage::Canary).await;
+    fleet.until_stage(RolloutStage::Canary).await;
     fleet.source.withdraw_rollout();
-    fleet.comes_to(RolloutStage::RolledBack).await;
+    fleet.until_stage(RolloutStage::RolledBack).await;
     let reason = fleet.source.rollout().map(|record| record.reason);
     assert_that!(reason, some(eq(RolloutReason::Withdrawn)));
-    let (_, new) = fleet.reached_meanwhile().await;
+    let (_, new) = fleet.arrivals_in_window().await;
     assert_that!(new, eq(0));
-    stop(load);
+    stop_load(load);
 }
 
 #[tokio::test]
@@ -334,7 +339,7 @@
     const SHORT_MS: u64 = 1_000;
     let fleet = RolloutFleet::start().await;
     fleet.source.order_rollout(NEW, SHORT_MS);
-    fleet.comes_to(RolloutStage::RolledBack).await;
+    fleet.until_stage(RolloutStage::RolledBack).await;
     let reason = fleet.source.rollout().map(|record| record.reason);
     assert_that!(reason, some(eq(RolloutReason::NoEndpoints)));
 }
--- a/crates/gateway/tests/gateway/rows.rs
+++ b/crates/gateway/tests/gateway/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the platform's that another writer made.
+//! Unreadable rows in the store.
 
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
     );
 }
 
-/// An endpoint whose row is overwritten is used no longer, by any host, also where
-/// entries that lapsed are kept; written well again, it is.
+/// No host uses an endpoint whose row is unreadable, even one that retains lapsed
+/// entries, until the row is readable again.
 #[tokio::test]
 async fn rows_that_are_overwritten_name_no_endpoint() {
     let source = TestSource::default();
@@ -74,7 +74,7 @@
     until(async || metric_value(&gateway, "rows_passed_over_total").await >= 1.0).await;
     assert_that!(serves(&gateway).await, eq(true));
     source.set_rules(rules(2));
-    let known = until(async || gateway.has_rules(2).await);
-    let known = tokio::time::timeout(Duration::from_secs(5), known).await;
-    assert_that!(known.is_ok(), eq(true));
+    let has_newer_rules = until(async || gateway.has_rules(2).await);
+    let has_newer_rules = tokio::time::timeout(Duration::from_secs(5), has_newer_rules).await;
+    assert_that!(has_newer_rules.is_ok(), eq(true));
 }
--- a/crates/gateway/tests/gateway/silences.rs
+++ b/crates/gateway/tests/gateway/silences.rs
@@ -1,4 +1,4 @@
-//! A platform that falls silent and comes back, with the clock paused.
+//! A store that stops answering for a time, with the clock paused.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 use googletest::prelude::*;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Points of a wait for changes at which the silence begins.
+/// Start times of the silence within a wait for changes.
 const STARTS_MS: [u64; 9] = [0, 450, 1_100, 1_900, 2_500, 3_200, 3_999, 4_300, 5_600];
-/// Lengths of the silence.
-const LENGTHS_MS: [u64; 4] = [50, 900, 2_600, 7_000];
+/// Durations of the silence.
+const DURATIONS_MS: [u64; 4] = [50, 900, 2_600, 7_000];
 
-/// So many hosts of one platform that know each other and have a bound.
-async fn hosts(count: usize, bound_ms: u64) -> (TestSource, Vec<TestGateway>) {
+/// Starts hosts that share a store and are peers.
+async fn start_hosts(count: usize, bound_ms: u64) -> (TestSource, Vec<TestGateway>) {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let mut hosts: Vec<TestGateway> = Vec::new();
     for i in 0..count {
         let name = format!("host-{i}");
-        let others = hosts.iter();
-        let seeds = others
+        let peers = hosts.iter();
+        let seeds = peers
             .filter_map(|host| host.running.peer_address())
             .collect();
         hosts.push(TestGateway::with_follow_bound(source.clone(), &name, seeds, bound_ms).await);
@@ -30,16 +30,16 @@
     (source, hosts)
 }
 
-/// Begins a silence after `start_ms`, changes the rules in its midst, ends it
-/// after `length_ms`, and looks at all hosts `bound_ms` later.
-async fn all_know_after(count: usize, bound_ms: u64, start_ms: u64, length_ms: u64) {
-    let case = format!("{count} hosts, {bound_ms}, {start_ms}, {length_ms}");
-    let (source, hosts) = hosts(count, bound_ms).await;
+/// Changes the rules during a silence and checks that all hosts have them `bound_ms`
+/// after its end.
+async fn assert_rules_in_time(count: usize, bound_ms: u64, start_ms: u64, duration_ms: u64) {
+    let case = format!("{count} hosts, {bound_ms}, {start_ms}, {duration_ms}");
+    let (source, hosts) = start_hosts(count, bound_ms).await;
     sleep(Duration::from_millis(start_ms)).await;
     source.set_silent(true);
-    sleep(Duration::from_millis(length_ms / 2)).await;
+    sleep(Duration::from_millis(duration_ms / 2)).await;
     source.set_rules(rules(2));
-    sleep(Duration::from_millis(length_ms / 2)).await;
+    sleep(Duration::from_millis(duration_ms / 2)).await;
     source.set_silent(false);
     let ended_at = Instant::now();
     sleep_until(ended_at + Duration::from_millis(bound_ms)).await;
@@ -52,8 +52,8 @@
 async fn silence_is_over_for_one_host_within_the_bound() {
     for bound_ms in [1_500, 2_000, 3_000] {
         for start_ms in STARTS_MS {
-            for length_ms in LENGTHS_MS {
-                all_know_after(1, bound_ms, start_ms, length_ms).await;
+            for duration_ms in DURATIONS_MS {
+                assert_rules_in_time(1, bound_ms, start_ms, duration_ms).await;
             }
         }
     }
@@ -62,55 +62,51 @@
 #[tokio::test(start_paused = true)]
 async fn silence_is_over_for_all_hosts_within_the_bound() {
     for start_ms in STARTS_MS {
-        for length_ms in LENGTHS_MS {
-            all_know_after(4, 1_500, start_ms, length_ms).await;
+        for duration_ms in DURATIONS_MS {
+            assert_rules_in_time(4, 1_500, start_ms, duration_ms).await;
         }
     }
 }
 
-/// Hosts of a zone whose relays sum up for it.
+/// Number of hosts in a zone that is large enough for relays.
 const LARGE_ZONE: usize = 28;
 
 #[tokio::test(start_paused = true)]
 async fn silence_is_over_for_a_large_zone_within_the_bound() {
-    for (start_ms, length_ms) in [(1_100, 900), (4_300, 7_000), (9_000, 2_600)] {
-        all_know_after(LARGE_ZONE, 3_000, start_ms, length_ms).await;
+    for (start_ms, duration_ms) in [(1_100, 900), (4_300, 7_000), (9_000, 2_600)] {
+        assert_rules_in_time(LARGE_ZONE, 3_000, start_ms, duration_ms).await;
     }
 }
 
-/// Nothing answers for eight seconds: readers go on asking, and others join
-/// them step by step.
+/// While the store is silent, hosts must join the subscribers gradually, not all at once.
 #[tokio::test(start_paused = true)]
 async fn silence_is_watched_by_few_hosts_of_a_large_zone() {
-    const SETTLED: Duration = Duration::from_secs(20);
+    const SETTLE_TIME: Duration = Duration::from_secs(20);
     const SILENCE: Duration = Duration::from_secs(8);
-    let (source, hosts) = hosts(LARGE_ZONE, 3_000).await;
-    sleep(SETTLED).await;
+    let (source, hosts) = start_hosts(LARGE_ZONE, 3_000).await;
+    sleep(SETTLE_TIME).await;
     let before = source.calls();
     source.set_silent(true);
     sleep(SILENCE).await;
     let calls = source.calls() - before;
-    // 619 with pauses that do not count the time of the calls themselves, and
-    // 202 with these.
     assert_that!(calls, lt(12 * hosts.len() as u32));
 }
 
 #[tokio::test(start_paused = true)]
 async fn silence_is_watched_for_with_few_calls() {
     const HOSTS: u32 = 8;
-    const CALM: Duration = Duration::from_secs(40);
-    /// If all waited for two topics, ten seconds at a time.
-    const WAITS: u32 = HOSTS * 2 * 40 / 10;
-    let (source, _hosts) = hosts(HOSTS as usize, 2_000).await;
+    const DURATION: Duration = Duration::from_secs(40);
+    /// Calls if every host waited for two topics, 10 s per call.
+    const BASELINE_CALLS: u32 = HOSTS * 2 * 40 / 10;
+    let (source, _hosts) = start_hosts(HOSTS as usize, 2_000).await;
     let before = source.calls();
-    sleep(CALM).await;
+    sleep(DURATION).await;
     let calls = source.calls() - before;
-    // Hosts that did not hear of each other's answers would ask 16 times a
-    // second. The waits' phases are drawn: 94 to 108 calls in 12 runs.
-    assert_that!(calls, le(4 * WAITS));
+    // Hosts that ignored answers received by peers would call 16 times a second.
+    assert_that!(calls, le(4 * BASELINE_CALLS));
 }
 
-/// A store that is slow is no silent one, also for a host that starts.
+/// A slow store must not count as silent, nor keep a host from starting.
 #[tokio::test(start_paused = true)]
 async fn silence_is_not_taken_for_slowness() {
     for answer_ms in [200, 800, 1_600] {
@@ -127,7 +123,7 @@
     }
 }
 
-/// What lapsed while the platform was away takes work until it should be back.
+/// An endpoint whose entry lapses during a silence serves until its entry is due again.
 #[tokio::test(start_paused = true)]
 async fn silence_in_which_entries_lapse_costs_no_request() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
@@ -138,7 +134,7 @@
         sleep(Duration::from_secs(6)).await;
         gateway.source.unlist(&endpoint.name);
         gateway.source.set_silent(false);
-        // Known to be unlisted by now, and within the time that it is kept.
+        // The host has the change but still retains the entry.
         for i in 0..15 {
             sleep(Duration::from_millis(100)).await;
             assert_that!(status(&format!("{round}-{i}")).await, eq(200));
--- a/crates/gateway/tests/gateway/slow_readers.rs
+++ b/crates/gateway/tests/gateway/slow_readers.rs
@@ -1,8 +1,5 @@
-//! Callers that take their answers slowly, and endpoints that take requests slowly.
-//!
-//! What is held for them is the host's memory. Answers were read whole, as many at once
-//! as callers asked for, and kept until these had taken them: 100 callers that read
-//! nothing of 4 MB each would have taken 400 MB of a host that has 160.
+//! Slow callers and endpoints: answers and bodies held for them must not exhaust the
+//! memory of the host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,9 +16,9 @@
 const MB: usize = 1024 * 1024;
 /// The key of a second organisation.
 const OTHER_KEY: &str = "key-2";
-const HELD: &str = "answers_held_bytes";
+const HELD_BYTES: &str = "answers_held_bytes";
 
-fn rules_of_two(idle_timeout_ms: u64) -> RulesDocument {
+fn two_organisations(idle_timeout_ms: u64) -> RulesDocument {
     let mut document = rules(1);
     document.organisations.push(OrganisationRules {
         name: "other".into(),
@@ -40,74 +37,81 @@
 
 async fn source(behaviour: Behaviour, idle_timeout_ms: u64) -> (TestSource, ScriptedEndpoint) {
     let source = TestSource::default();
-    source.set_rules(rules_of_two(idle_timeout_ms));
+    source.set_rules(two_organisations(idle_timeout_ms));
     let script = Script::default();
     let endpoint = ScriptedEndpoint::start("endpoint-1", "pool", behaviour, script).await;
     source.list(endpoint.endpoint.clone());
     (source, endpoint)
 }
 
-/// A connection whose window is as small as it gets, so that what is sent to it unread
-/// stays with the sender.
-async fn narrow(address: SocketAddr) -> TcpStream {
+/// Opens a connection with a minimal receive window, so that unread data stays with the
+/// sender.
+async fn small_window(address: SocketAddr) -> TcpStream {
     const WINDOW_BYTES: u32 = 4 * 1024;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(WINDOW_BYTES).expect("a window");
     socket.connect(address).await.expect("a connection")
 }
 
-/// Sends a call whose answer is not read yet.
+/// Sends a call without reading the answer.
 async fn send_unread(gateway: &TestGateway, call: &Call) -> TcpStream {
-    let mut stream = narrow(gateway.running.front_address()).await;
+    let mut stream = small_window(gateway.running.front_address()).await;
     stream.write_all(&call.bytes()).await.expect("a request");
     stream
 }
 
 #[tokio::test]
 async fn answers_that_are_left_unread_stay_within_their_room() {
-    const ROOM: usize = 16 * MB;
-    const ANSWER: usize = 3 * MB;
+    const CAPACITY_BYTES: usize = 16 * MB;
+    const ANSWER_BYTES: usize = 3 * MB;
     const CALLERS: usize = 8;
     let (source, _endpoint) = source(Behaviour::Answer, 60_000).await;
-    let gateway = TestGateway::with_max_answer_bytes(source, ROOM).await;
+    let gateway = TestGateway::with_max_answer_bytes(source, CAPACITY_BYTES).await;
     gateway.ready().await;
     let mut unread = Vec::new();
     for number in 0..CALLERS {
-        let call = Call::post("/patient/", &vec![b'a'; ANSWER]).id(&format!("slow-{number}"));
+        let call = Call::post("/patient/", &vec![b'a'; ANSWER_BYTES]).id(&format!("slow-{number}"));
         unread.push(send_unread(&gateway, &call).await);
     }
-    until(async || metric_value(&gateway, HELD).await > (3 * ANSWER / 2) as f64).await;
+    until(async || metric_value(&gateway, HELD_BYTES).await > (3 * ANSWER_BYTES / 2) as f64).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let held = metric_value(&gateway, HELD).await;
-    assert_that!(held, le(0.8 * ROOM as f64), "a fifth is left to the others");
-    // Another organisation's caller is not kept waiting.
-    let quick = Call::post("/safe/", &vec![b'b'; ANSWER]).id("quick");
+    let held = metric_value(&gateway, HELD_BYTES).await;
+    assert_that!(
+        held,
+        le(0.8 * CAPACITY_BYTES as f64),
+        "a fifth is reserved for others"
+    );
+    // The caller of another organisation does not wait.
+    let quick = Call::post("/safe/", &vec![b'b'; ANSWER_BYTES]).id("quick");
     let quick = gateway.call(quick.header("key", OTHER_KEY));
     let quick = tokio::time::timeout(Duration::from_secs(2), quick).await;
-    assert_that!(quick.expect("an answer in time").body.len(), eq(ANSWER));
-    // Each slow caller gets its whole answer once it reads.
+    assert_that!(
+        quick.expect("an answer in time").body.len(),
+        eq(ANSWER_BYTES)
+    );
+    // Each slow caller receives its whole answer once it reads.
     let read = unread.iter_mut().map(receive);
     for answer in futures::future::join_all(read).await {
         assert_that!(answer.status, eq(200));
-        assert_that!(answer.body.len(), eq(ANSWER));
+        assert_that!(answer.body.len(), eq(ANSWER_BYTES));
     }
-    until(async || metric_value(&gateway, HELD).await == 0.0).await;
+    until(async || metric_value(&gateway, HELD_BYTES).await == 0.0).await;
 }
 
 #[tokio::test]
 async fn caller_that_takes_nothing_loses_its_connection() {
-    const IDLE_MS: u64 = 400;
-    let (source, _endpoint) = source(Behaviour::Answer, IDLE_MS).await;
+    const IDLE_TIMEOUT_MS: u64 = 400;
+    let (source, _endpoint) = source(Behaviour::Answer, IDLE_TIMEOUT_MS).await;
     let gateway = TestGateway::with_max_answer_bytes(source, 16 * MB).await;
     gateway.ready().await;
     let call = Call::post("/safe/", &vec![b'a'; 3 * MB]).id("never-read");
     let _unread = send_unread(&gateway, &call).await;
-    until(async || metric_value(&gateway, HELD).await > 0.0).await;
-    until(async || metric_value(&gateway, HELD).await == 0.0).await;
+    until(async || metric_value(&gateway, HELD_BYTES).await > 0.0).await;
+    until(async || metric_value(&gateway, HELD_BYTES).await == 0.0).await;
 }
 
-/// An endpoint breaks off what stays unread. The stream comes whole and in order all the
-/// same once its caller reads.
+/// A stream whose endpoint disconnects while the caller reads nothing must still arrive
+/// complete and in order.
 #[tokio::test]
 async fn stream_that_was_left_unread_comes_whole() {
     const LAST: u64 = 150_000;
@@ -125,14 +129,14 @@
     gateway.source.list(second.endpoint.clone());
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     first.reset_streams();
-    let events = events_of(&mut stream).await;
+    let events = read_events(&mut stream).await;
     let expected: Vec<u64> = (0..=LAST).collect();
     assert_that!(events == expected, eq(true), "{} events", events.len());
     assert_that!(second.arrivals(), eq(1));
 }
 
-/// Reads a stream up to its end, and the numbers of its events. Empty if it breaks off.
-async fn events_of(stream: &mut TcpStream) -> Vec<u64> {
+/// Reads a stream and returns the ids of its events, or none if it is incomplete.
+async fn read_events(stream: &mut TcpStream) -> Vec<u64> {
     const END: &[u8] = b"\r\n0\r\n\r\n";
     let mut bytes = Vec::new();
     while !bytes.ends_with(END) {
@@ -148,14 +152,14 @@
 
 #[tokio::test]
 async fn bodies_of_one_organisation_leave_the_others_room() {
-    const ROOM: usize = MB;
-    const BODY: usize = 200 * 1024;
+    const CAPACITY_BYTES: usize = MB;
+    const BODY_BYTES: usize = 200 * 1024;
     let (source, _endpoint) = source(Behaviour::AnswerAfter(1_500), 60_000).await;
-    let gateway = TestGateway::with_max_body_bytes(source, ROOM).await;
+    let gateway = TestGateway::with_max_body_bytes(source, CAPACITY_BYTES).await;
     gateway.ready().await;
     let address = gateway.running.front_address();
     let call = |name: &str, key: &str| {
-        let call = Call::post("/safe/", &vec![b'a'; BODY]).id(name);
+        let call = Call::post("/safe/", &vec![b'a'; BODY_BYTES]).id(name);
         call.header("key", key)
     };
     let mut held = Vec::new();
@@ -163,14 +167,12 @@
         let call = call(&format!("held-{number}"), crate::support::KEY);
         held.push(call.send(address).await);
     }
-    until(async || metric_value(&gateway, "caller_bodies_held_bytes").await >= (4 * BODY) as f64)
-        .await;
+    until(async || {
+        metric_value(&gateway, "caller_bodies_held_bytes").await >= (4 * BODY_BYTES) as f64
+    })
+    .await;
     let fifth = gateway.call(call("fifth", crate::support::KEY)).await;
-    assert_that!(
-        fifth.status,
-        eq(503),
-        "a fifth of the room is left to the others"
-    );
+    assert_that!(fifth.status, eq(503), "a fifth is reserved for others");
     let other = gateway.call(call("other", OTHER_KEY)).await;
     assert_that!(other.status, eq(200));
 }
--- a/crates/gateway/tests/gateway/stops.rs
+++ b/crates/gateway/tests/gateway/stops.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off nothing that runs.
+//! A planned stop must not interrupt running requests.
 
 use crate::support::{Behaviour, Call, TestGateway, receive};
 use googletest::prelude::*;
@@ -37,7 +37,7 @@
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     gateway.endpoints[0].set_behaviour(Behaviour::Silent);
     let address = gateway.running.front_address();
-    // Something runs on, so that the host does not end before it refuses.
+    // A running request keeps the host from ending before it rejects.
     let _held = tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
     gateway.stop.stop();
     loop {
@@ -60,7 +60,7 @@
     stream.write_all(&call).await.expect("a request");
     assert_that!(receive(&mut stream).await.status, eq(200));
     gateway.stop.stop();
-    // Nothing more comes, and the connection ends.
+    // The host closes the connection without another answer.
     assert_that!(receive(&mut stream).await.status, eq(0));
     gateway.running.ended().await;
 }
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -1,31 +1,31 @@
-//! Streams: passed on whole and in order, resumed where they may be, and
-//! never made to look complete where they are not.
+//! Streams are forwarded whole and in order, resumed where the route allows it, and
+//! never end as complete when they are not.
 
 use crate::support::{Behaviour, Call, Received, TestGateway, event};
 use googletest::prelude::*;
 use tokio::io::AsyncReadExt;
 
-const LAST: u64 = 9;
+const LAST_EVENT: u64 = 9;
 
 fn whole_stream() -> Behaviour {
     Behaviour::Stream {
-        last: LAST,
+        last: LAST_EVENT,
         cut_at: None,
     }
 }
 
 fn cut_stream(cut_at: u64) -> Behaviour {
     Behaviour::Stream {
-        last: LAST,
+        last: LAST_EVENT,
         cut_at: Some(cut_at),
     }
 }
 
 fn all_events() -> Vec<u64> {
-    (0..=LAST).collect()
+    (0..=LAST_EVENT).collect()
 }
 
-/// Asks for a stream that may be resumed.
+/// Requests a resumable stream.
 async fn call_resumable(gateway: &TestGateway) -> Received {
     let call = Call::post("/resumable/", b"x").id("r-1");
     gateway.call(call).await
@@ -36,7 +36,7 @@
     for path in ["/stream/", "/resumable/"] {
         let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
         let received = gateway.call(Call::post(path, b"x").id("r-1")).await;
-        let bytes: Vec<u8> = (0..=LAST).flat_map(event).collect();
+        let bytes: Vec<u8> = (0..=LAST_EVENT).flat_map(event).collect();
         assert_that!(received.status, eq(200), "{path}");
         assert_that!(received.is_complete, eq(true), "{path}");
         assert_that!(received.body, eq(&bytes), "{path}");
@@ -46,7 +46,7 @@
 
 #[tokio::test]
 async fn stream_that_breaks_off_goes_on_elsewhere_if_it_may() {
-    for cut_at in [0, 1, 5, LAST] {
+    for cut_at in [0, 1, 5, LAST_EVENT] {
         let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
         gateway.script.push([cut_stream(cut_at)]);
         let received = call_resumable(&gateway).await;
@@ -144,20 +144,20 @@
             .header("parts", "7,8,99")
     };
     gateway.call(call("r-1")).await;
-    let home = gateway
+    let holder = gateway
         .endpoints
         .iter()
         .position(|e| e.run_count("r-1") == 1);
-    let home = home.expect("it ran");
-    gateway.source.list(gateway.endpoints[home].leaving());
+    let holder = holder.expect("an endpoint that ran it");
+    gateway.source.list(gateway.endpoints[holder].leaving());
     loop {
         gateway.call(call("r-2")).await;
-        let elsewhere = gateway.endpoints.iter().enumerate();
-        let mut elsewhere = elsewhere.filter(|(i, e)| *i != home && e.run_count("r-2") > 0);
-        if let Some((_, endpoint)) = elsewhere.next() {
+        let others = gateway.endpoints.iter().enumerate();
+        let mut others = others.filter(|(i, e)| *i != holder && e.run_count("r-2") > 0);
+        if let Some((_, endpoint)) = others.next() {
             let seen = endpoint.requests();
-            let held = gateway.endpoints[home].endpoint.address.to_string();
-            assert_that!(seen[0].header("holder"), some(eq(held.as_str())));
+            let address = gateway.endpoints[holder].endpoint.address.to_string();
+            assert_that!(seen[0].header("holder"), some(eq(address.as_str())));
             return;
         }
     }
--- a/crates/gateway/tests/gateway/suspensions.rs
+++ b/crates/gateway/tests/gateway/suspensions.rs
@@ -1,5 +1,5 @@
-//! Hosts that stood still: what they believed is as old as that was long, also where
-//! the steady clock did not count it.
+//! A host that was suspended must refresh its view before it sends requests, even if the
+//! steady clock did not count the suspension.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 use googletest::prelude::*;
 use tokio::time::Instant;
 
-/// How long a host really stands still in a test.
-const STILL: Duration = Duration::from_millis(400);
-/// From what on a stop that the steady clock counts is noticed.
+/// Time for which a test blocks a host.
+const BLOCKED: Duration = Duration::from_millis(400);
+/// A stop that the steady clock counts and that is long enough to be detected.
 const STOPPED: Duration = Duration::from_millis(1_500);
 const SUSPENSIONS: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
 
-/// A host that reads the platform, and one that learns through it alone.
-struct Pair {
+/// A store subscriber and a host that learns only from it.
+struct HostPair {
     source: TestSource,
-    reader: TestGateway,
+    subscriber: TestGateway,
     host: SuspendableGateway,
     endpoints: Vec<ScriptedEndpoint>,
 }
 
-impl Pair {
+impl HostPair {
     async fn start() -> Self {
         let source = TestSource::default();
         source.set_rules(rules(1));
@@ -38,56 +38,62 @@
             source.list(endpoint.endpoint.clone());
             endpoints.push(endpoint);
         }
-        let reader = TestGateway::start(source.clone(), "reader", Vec::new()).await;
-        reader.ready().await;
-        let host = SuspendableGateway::start("host", vec![reader.peer_address()]).await;
+        let subscriber = TestGateway::start(source.clone(), "reader", Vec::new()).await;
+        subscriber.ready().await;
+        let host = SuspendableGateway::start("host", vec![subscriber.peer_address()]).await;
         until(async || metric_value(&host.gateway, "endpoints_live").await == 2.0).await;
         until(async || metric_value(&host.gateway, "peers_heard").await == 1.0).await;
         Self {
             source,
-            reader,
+            subscriber,
             host,
             endpoints,
         }
     }
 
-    /// Has the host stand still while something changes, of which the reader knows
-    /// before it wakes, and `uncounted` of it not be counted by the steady clock.
-    /// Returns what the first request gets, sent while the host stands still.
-    async fn after(&self, still: Duration, uncounted: Duration, change: impl FnOnce(&Self)) -> u16 {
-        let version = async || metric_value(&self.reader, "endpoints_version").await;
-        let rules = async || metric_value(&self.reader, "rules_version").await;
-        let evacuated = async || metric_value(&self.reader, "evacuated_zones").await;
-        let before = (version().await, rules().await, evacuated().await);
-        self.host.block_for(still);
+    /// Suspends the host while the store changes and the subscriber learns of it; the
+    /// steady clock misses `uncounted`. Returns the status of a request sent meanwhile.
+    async fn status_after_suspension(
+        &self,
+        blocked: Duration,
+        uncounted: Duration,
+        change: impl FnOnce(&Self),
+    ) -> u16 {
+        let version = async || metric_value(&self.subscriber, "endpoints_version").await;
+        let rules = async || metric_value(&self.subscriber, "rules_version").await;
+        let evacuations = async || metric_value(&self.subscriber, "evacuated_zones").await;
+        let before = (version().await, rules().await, evacuations().await);
+        self.host.block_for(blocked);
         tokio::time::sleep(Duration::from_millis(20)).await;
         change(self);
-        until(async || (version().await, rules().await, evacuated().await) != before).await;
+        until(async || (version().await, rules().await, evacuations().await) != before).await;
         self.host.add_suspension(uncounted);
         let call = Call::get("/safe/").id("woken");
         self.host.gateway.call(call).await.status
     }
 
-    async fn ask(&self) -> u16 {
+    async fn call(&self) -> u16 {
         let call = Call::get("/safe/").id("next");
         self.host.gateway.call(call).await.status
     }
 }
 
-/// Each pause: how long it really is, and what the steady clock does not count.
-fn pauses() -> Vec<(Duration, Duration)> {
-    let suspensions = SUSPENSIONS.into_iter().map(|length| (STILL, length));
+/// Suspensions: the real time, and the time that the steady clock does not count.
+fn suspensions() -> Vec<(Duration, Duration)> {
+    let suspensions = SUSPENSIONS.into_iter().map(|length| (BLOCKED, length));
     suspensions.chain([(STOPPED, Duration::ZERO)]).collect()
 }
 
 #[tokio::test]
 async fn pauses_end_before_old_rules_are_used() {
-    for (still, uncounted) in pauses() {
-        let pair = Pair::start().await;
+    for (blocked, uncounted) in suspensions() {
+        let pair = HostPair::start().await;
         let mut newer = rules(2);
         newer.routes.retain(|route| &*route.name != "safe");
-        let change = |pair: &Pair| pair.source.set_rules(newer);
-        let status = pair.after(still, uncounted, change).await;
+        let change = |pair: &HostPair| pair.source.set_rules(newer);
+        let status = pair
+            .status_after_suspension(blocked, uncounted, change)
+            .await;
         assert_that!(status, eq(404), "{uncounted:?}");
         assert_that!(
             metric_value(&pair.host.gateway, "pauses_total").await,
@@ -98,7 +104,7 @@
 
 #[tokio::test]
 async fn pauses_end_before_an_endpoint_is_sent_what_it_may_no_longer_have() {
-    type Change = fn(&Pair);
+    type Change = fn(&HostPair);
     let changes: [(&str, Change); 4] = [
         ("leaves", |pair| {
             pair.source.list(pair.endpoints[0].leaving())
@@ -120,14 +126,16 @@
             });
         }),
     ];
-    for (still, uncounted) in pauses() {
+    for (blocked, uncounted) in suspensions() {
         for (case, change) in changes {
-            let pair = Pair::start().await;
+            let pair = HostPair::start().await;
             let before = pair.endpoints[0].arrivals();
-            let status = pair.after(still, uncounted, change).await;
+            let status = pair
+                .status_after_suspension(blocked, uncounted, change)
+                .await;
             assert_that!(status, eq(200), "{case}, {uncounted:?}");
             for _ in 0..6 {
-                assert_that!(pair.ask().await, eq(200), "{case}, {uncounted:?}");
+                assert_that!(pair.call().await, eq(200), "{case}, {uncounted:?}");
             }
             let arrived = pair.endpoints[0].arrivals();
             assert_that!(arrived, eq(before), "{case}, {uncounted:?}");
@@ -135,35 +143,34 @@
     }
 }
 
-// A host that woke was told that the store had just answered, 10 s after the last answer
-// that it knew of. It took the store for away meanwhile, kept endpoints whose entries
-// were gone for 2 s, and sent them requests.
+/// A host must not take its own suspension for an outage of the store, in which it would
+/// retain removed endpoints.
 #[tokio::test]
 async fn pauses_of_a_host_are_none_of_the_store() {
-    for (still, uncounted) in [
-        (STILL, SUSPENSIONS[1]),
+    for (blocked, uncounted) in [
+        (BLOCKED, SUSPENSIONS[1]),
         (Duration::from_secs(4), Duration::ZERO),
     ] {
-        let pair = Pair::start().await;
-        pair.host.block_for(still);
+        let pair = HostPair::start().await;
+        pair.host.block_for(blocked);
         tokio::time::sleep(Duration::from_millis(20)).await;
         pair.host.add_suspension(uncounted);
-        assert_that!(pair.ask().await, eq(200));
-        // Until it heard of an answer after it woke.
+        assert_that!(pair.call().await, eq(200));
+        // Until the host learns of a store answer after the suspension.
         tokio::time::sleep(Duration::from_millis(400)).await;
         pair.source.unlist(&pair.endpoints[0].endpoint.name);
         let version = async |gateway| metric_value(gateway, "endpoints_version").await;
-        until(async || version(&pair.reader).await == 4.0).await;
+        until(async || version(&pair.subscriber).await == 4.0).await;
         until(async || version(&pair.host.gateway).await == 4.0).await;
         let live = metric_value(&pair.host.gateway, "endpoints_live").await;
         assert_that!(live, eq(1.0), "{uncounted:?}");
     }
 }
 
-/// Its caller was not suspended with the host.
+/// Deadlines of waiting requests include the suspension of the host.
 #[tokio::test]
 async fn pauses_count_for_what_waits() {
-    let pair = Pair::start().await;
+    let pair = HostPair::start().await;
     pair.endpoints
         .iter()
         .for_each(|endpoint| endpoint.set_behaviour(Behaviour::Silent));
@@ -179,25 +186,24 @@
             .any(|endpoint| endpoint.arrivals() > 0)
     })
     .await;
-    pair.host.block_for(STILL);
+    pair.host.block_for(BLOCKED);
     pair.host.add_suspension(SUSPENSIONS[1]);
     let suspended_at = Instant::now();
     let (status, ended_at) = waiting.await.expect("an answer");
     assert_that!(status, eq(504));
     assert_that!(
         ended_at - suspended_at,
-        lt(STILL + Duration::from_millis(1_500))
+        lt(BLOCKED + Duration::from_millis(1_500))
     );
 }
 
-/// A host that reads the platform and reaches no other one refreshes from there; one
-/// that reaches neither goes by what it knew.
+/// A host that reaches neither the store nor a peer goes on with its stale view.
 #[tokio::test]
 async fn pauses_do_not_end_the_service_of_a_host_that_is_alone() {
-    let pair = Pair::start().await;
-    pair.reader.stop.stop();
-    pair.reader.running.ended().await;
-    pair.host.block_for(STILL);
+    let pair = HostPair::start().await;
+    pair.subscriber.stop.stop();
+    pair.subscriber.running.ended().await;
+    pair.host.block_for(BLOCKED);
     pair.host.add_suspension(SUSPENSIONS[1]);
     let address = pair.host.gateway.running.front_address();
     until(async || {
@@ -211,13 +217,12 @@
     .await;
 }
 
-/// A host that stood still in its first 0.2 s went by what it had learned before: it had
-/// not looked at the clocks yet, or took its first look, at zero, for none. A test of old
-/// rules failed by that in 2 of 12 runs beside each other.
+/// A suspension directly after the start must be detected, before the first regular look at
+/// the clocks.
 #[tokio::test]
 async fn pauses_show_from_the_start_on() {
-    let reader = TestGateway::with_rules(rules(1)).await;
-    let host = SuspendableGateway::start("host", vec![reader.peer_address()]).await;
+    let subscriber = TestGateway::with_rules(rules(1)).await;
+    let host = SuspendableGateway::start("host", vec![subscriber.peer_address()]).await;
     host.block_for(STOPPED);
     until(async || metric_value(&host.gateway, "pauses_total").await >= 1.0).await;
 }
