--- a/crates/gateway/tests/gateway/attempts.rs
+++ b/crates/gateway/tests/gateway/attempts.rs
@@ -65,7 +65,7 @@
 ];
 
 #[tokio::test]
-async fn attempts_end_as_the_table_says() {
+async fn attempts_match_the_case_table() {
     for case in &CASES {
         let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
         gateway.script.push([case.first.clone()]);
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn attempts_refuse_at_once_and_say_when_to_come_back() {
+async fn attempts_that_are_all_shed_return_a_retry_delay() {
     let gateway = TestGateway::with_endpoints(2, Behaviour::Shed).await;
     let received = gateway.call(Call::post("/unsafe/", b"x").id("r-1")).await;
     assert_that!(received.status, eq(503));
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn attempts_never_promise_not_run_after_one_that_may_have() {
+async fn attempts_never_report_not_run_after_a_possible_run() {
     let gateway = TestGateway::with_endpoints(2, Behaviour::Shed).await;
     gateway.script.push([Behaviour::Reset]);
     let received = gateway.call(Call::get("/safe/").id("r-1")).await;
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn attempts_pass_over_endpoints_that_are_not_there() {
+async fn attempts_skip_unreachable_endpoints() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let mut unreachable = gateway.endpoints[0].endpoint.clone();
     for i in 0..3 {
@@ -120,9 +120,9 @@
     }
 }
 
-/// A request that reaches no endpoint adds to the retry budget just once.
+/// Each request adds to the retry budget once, even one that no endpoint receives.
 #[tokio::test]
-async fn attempts_are_paid_for_by_each_request_once() {
+async fn attempts_are_budgeted_once_per_request() {
     const RATIO: f64 = 0.2;
     let source = TestSource::default();
     source.set_rules(rules(1));
@@ -151,12 +151,12 @@
         let call = Call::get("/safe/").id(&format!("late-{i}"));
         statuses.push(gateway.call(call).await.status);
     }
-    // 15 requests at a ratio of 0.2 fund three retries, one of which is reserved.
+    // 15 requests at a ratio of 0.2 fund three retries, of which 80 % are usable.
     assert_that!(statuses, eq(&[200, 200, 500]));
 }
 
 #[tokio::test]
-async fn attempts_use_no_connection_that_its_endpoint_closed() {
+async fn attempts_use_no_closed_connection() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::AnswerThenClose).await;
     for i in 0..50 {
         let id = format!("r-{i}");
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn attempts_keep_connections_between_requests() {
+async fn attempts_reuse_connections() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     for i in 0..20 {
         gateway
@@ -189,7 +189,7 @@
 
 /// An attempt does not run on to the timeout of its route without a caller.
 #[tokio::test]
-async fn attempts_end_when_the_caller_leaves() {
+async fn attempts_end_when_the_caller_disconnects() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Silent).await;
     let call = Call::post("/patient/", b"x").id("r-1");
     let stream = call.send(gateway.running.front_address()).await;
@@ -203,7 +203,7 @@
 /// A caller that disconnects before the answer does not count as a failure of
 /// the endpoint, which receives requests again after its silence.
 #[tokio::test]
-async fn attempts_come_back_to_an_endpoint_whose_caller_left() {
+async fn attempts_resume_at_an_endpoint_after_a_caller_disconnects() {
     let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     gateway.script.push([Behaviour::Silent]);
     let call = Call::post("/once/", b"x").id("left");
@@ -226,7 +226,7 @@
 
 /// Eight requests occupy two slots, so that a ninth could not meet its deadline.
 #[tokio::test]
-async fn attempts_are_refused_at_once_when_they_would_come_too_late() {
+async fn attempts_that_would_miss_the_deadline_are_rejected_at_once() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let script = Script::default();
--- a/crates/gateway/tests/gateway/builds.rs
+++ b/crates/gateway/tests/gateway/builds.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::support::{TestGateway, metric_value, rules, until};
+use crate::support::{TestGateway, metric, rules, until};
 use googletest::prelude::*;
 use tokio::net::UdpSocket;
 
@@ -26,37 +26,37 @@
 }
 
 #[tokio::test]
-async fn heartbeat_of_the_build_before_is_read() {
+async fn heartbeat_of_an_earlier_build_is_read() {
     let gateway = TestGateway::with_rules(rules(1)).await;
     send(&gateway, &parse_hex(HEARTBEAT)).await;
-    until(async || metric_value(&gateway, "peers_heard").await == 1.0).await;
+    until(async || metric(&gateway, "peers_heard").await == 1.0).await;
     assert_that!(
-        metric_value(&gateway, "leaving_heard_from_peers_total").await,
+        metric(&gateway, "leaving_heard_from_peers_total").await,
         eq(0.0)
     );
-    assert_that!(metric_value(&gateway, "peer_garbage_total").await, eq(0.0));
+    assert_that!(metric(&gateway, "peer_garbage_total").await, eq(0.0));
 }
 
 #[tokio::test]
-async fn datagram_of_a_kind_that_is_not_known_is_passed_over() {
+async fn datagram_of_an_unknown_kind_is_ignored() {
     const UNKNOWN_KIND: u8 = 100;
     let gateway = TestGateway::with_rules(rules(1)).await;
     let mut bytes = parse_hex(HEARTBEAT);
     bytes[0] = UNKNOWN_KIND;
     send(&gateway, &bytes).await;
-    until(async || metric_value(&gateway, "peer_garbage_total").await == 1.0).await;
+    until(async || metric(&gateway, "peer_garbage_total").await == 1.0).await;
     send(&gateway, &parse_hex(HEARTBEAT)).await;
-    until(async || metric_value(&gateway, "peers_heard").await == 1.0).await;
+    until(async || metric(&gateway, "peers_heard").await == 1.0).await;
 }
 
 /// A later build may append fields to a known kind of datagram.
 #[tokio::test]
-async fn heartbeat_with_more_behind_it_is_read() {
+async fn heartbeat_with_trailing_bytes_is_read() {
     let gateway = TestGateway::with_rules(rules(1)).await;
     let mut bytes = parse_hex(HEARTBEAT);
     bytes.extend_from_slice(b"more of a later build");
     send(&gateway, &bytes).await;
-    until(async || metric_value(&gateway, "peers_heard").await == 1.0).await;
+    until(async || metric(&gateway, "peers_heard").await == 1.0).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert_that!(metric_value(&gateway, "peer_garbage_total").await, eq(0.0));
+    assert_that!(metric(&gateway, "peer_garbage_total").await, eq(0.0));
 }
--- a/crates/gateway/tests/gateway/calls.rs
+++ b/crates/gateway/tests/gateway/calls.rs
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn call_that_no_rule_allows_is_refused() {
+async fn call_without_a_matching_rule_is_rejected() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let cases = [
         ("unknown path", Call::get("/nowhere/"), 404),
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn call_is_refused_while_nothing_is_known() {
+async fn call_is_rejected_while_no_rules_are_known() {
     let gateway = TestGateway::start(TestSource::default(), "host-1", Vec::new()).await;
     let received = gateway.call(Call::get("/safe/").id("r-1")).await;
     assert_that!(received.status, eq(503));
@@ -89,7 +89,7 @@
 
 /// Waiting for the rules costs a caller less time than a rejection and a retry.
 #[tokio::test]
-async fn call_waits_for_a_host_that_starts() {
+async fn call_waits_for_a_starting_host() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     source.set_answer_delay_ms(100);
@@ -103,14 +103,14 @@
 }
 
 #[tokio::test]
-async fn call_is_refused_while_its_pool_is_empty() {
+async fn call_to_an_empty_pool_is_rejected() {
     let gateway = TestGateway::with_endpoints(0, Behaviour::Answer).await;
     let received = gateway.call(Call::get("/safe/").id("r-1")).await;
     assert_that!(received.status, eq(503));
 }
 
 #[tokio::test]
-async fn call_is_given_up_at_its_deadline() {
+async fn call_ends_at_its_deadline() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Silent).await;
     let call = Call::post("/once/", b"x")
         .id("r-1")
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn call_with_bad_bytes_is_never_passed_on() {
+async fn call_with_invalid_bytes_is_never_forwarded() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let long_header = format!(
         "GET /safe/ HTTP/1.1\r\nhost: a.example\r\nid: r-1\r\nkey: key-1\r\nx: {}\r\n\r\n",
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn call_over_the_limits_of_the_rules_is_refused() {
+async fn call_over_the_body_limit_is_rejected() {
     let source = TestSource::default();
     let mut small = rules(1);
     small.limits = CallerLimits {
@@ -237,7 +237,7 @@
 }
 
 #[tokio::test]
-async fn endpoint_that_leaves_gets_no_new_work() {
+async fn endpoint_that_is_leaving_receives_no_requests() {
     let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let leaving = &gateway.endpoints[0];
     gateway.source.list(leaving.leaving());
@@ -261,7 +261,7 @@
 }
 
 #[tokio::test]
-async fn endpoint_that_is_unlisted_gets_no_work_until_it_is_listed_again() {
+async fn endpoint_that_is_unlisted_receives_no_requests_until_listed_again() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let endpoint = &gateway.endpoints[0];
     gateway.source.unlist(&endpoint.endpoint.name);
@@ -314,7 +314,7 @@
 
 /// The host must not run out of memory: it holds bodies until their requests end.
 #[tokio::test]
-async fn call_with_a_body_that_has_no_room_is_refused() {
+async fn call_with_a_body_over_the_memory_limit_is_rejected() {
     const MAX_BODY_BYTES: usize = 1024 * 1024;
     const LARGE_BYTES: usize = 400 * 1024;
     let source = TestSource::default();
@@ -389,7 +389,7 @@
 
 /// Idle connections must not block new callers.
 #[tokio::test]
-async fn call_on_a_crowded_host_is_the_last_of_its_connection() {
+async fn call_near_the_connection_limit_closes_its_connection() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let endpoint =
@@ -413,7 +413,7 @@
 
 /// An incomplete request must not reach an endpoint.
 #[tokio::test]
-async fn call_whose_caller_leaves_in_it_is_never_passed_on() {
+async fn call_that_is_incomplete_is_never_forwarded() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let address = gateway.running.front_address();
     let whole = Call::post("/unsafe/", b"0123456789").id("r-1").bytes();
--- a/crates/gateway/tests/gateway/crashes.rs
+++ b/crates/gateway/tests/gateway/crashes.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, CrashingEndpoint, POISON_BODY, TestGateway, TestSource, hosts_with_metric,
-    rules, until,
+    Behaviour, Call, CrashingEndpoint, POISON_BODY, TestGateway, TestSource, hosts_with, rules,
+    until,
 };
 use googletest::prelude::*;
 
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn crashes_are_answered_at_once_and_truly() {
+async fn crashes_quarantine_a_request_with_a_retry_delay() {
     let fleet = CrashFleet::start(1, 6).await;
     send_poison_request(&fleet).await;
     let received = fleet.hosts[0]
@@ -143,7 +143,7 @@
 
 /// A write to the store that fails is retried.
 #[tokio::test]
-async fn crashes_are_recorded_once_the_platform_is_back() {
+async fn crashes_are_recorded_once_the_store_is_back() {
     let fleet = CrashFleet::start(1, 6).await;
     let source = fleet.hosts[0].source.clone();
     source.set_unavailable(true);
@@ -156,7 +156,7 @@
 /// Requests without a body have the same fingerprint, so some run during every crash.
 /// They must not be rejected after they have completed elsewhere.
 #[tokio::test]
-async fn crashes_accuse_no_request_that_ran_well() {
+async fn crashes_quarantine_no_request_that_completed() {
     const CRASHES: usize = 4;
     let fleet = CrashFleet::start(2, 12).await;
     let host = &fleet.hosts[0];
@@ -180,7 +180,7 @@
 
 /// A connection reset by a running endpoint is not a crash.
 #[tokio::test]
-async fn crashes_are_not_seen_where_endpoints_live() {
+async fn crashes_exclude_resets_by_running_endpoints() {
     let gateway = TestGateway::with_endpoints(3, Behaviour::Reset).await;
     for number in 0..4 {
         let call = Call::post("/safe/", b"x").id(&format!("r-{number}"));
@@ -197,7 +197,7 @@
 /// Copies of a poison request that are queued at endpoints must not crash these after
 /// the request is quarantined.
 #[tokio::test]
-async fn crashes_recall_copies_that_do_not_run_yet() {
+async fn crashes_recall_copies_that_are_still_queued() {
     const COPIES: usize = 6;
     const STEP: Duration = Duration::from_millis(200);
     let source = TestSource::default();
@@ -282,14 +282,13 @@
     for host in &hosts {
         host.ready().await;
     }
-    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= LOCAL_HOSTS - 2)
-        .await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= LOCAL_HOSTS - 2).await;
     for (number, host) in [3, 20, LOCAL_HOSTS + 5].into_iter().enumerate() {
         let call = Call::post("/once/", POISON_BODY).id(&format!("r-{number}"));
         assert_that!(hosts[host].call(call).await.status, eq(502));
     }
     let propagated =
-        until(async || hosts_with_metric(&hosts, "poison_requests", 1.0).await == hosts.len());
+        until(async || hosts_with(&hosts, "poison_requests", 1.0).await == hosts.len());
     let in_time = tokio::time::timeout(PROPAGATION_TIMEOUT, propagated).await;
     assert_that!(in_time.is_ok(), eq(true));
 }
--- a/crates/gateway/tests/gateway/endpoint_reports.rs
+++ b/crates/gateway/tests/gateway/endpoint_reports.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::support::{Behaviour, Call, TestGateway, metric_value, until};
+use crate::support::{Behaviour, Call, TestGateway, metric, until};
 use chalkrock_core::{Endpoint, Incarnation};
 use googletest::prelude::*;
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
 
 /// Checks for each code path that an endpoint receives no request after an answer with
 /// a header, and that a metric counts it.
-async fn assert_report_honoured(line: &str, metric: &str) {
+async fn assert_report_honoured(line: &str, name: &str) {
     const REQUESTS: usize = 20;
     for (path, behaviour) in CODE_PATHS {
         let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
@@ -58,19 +58,19 @@
             assert_that!(received.status, eq(200), "{behaviour:?} on {path}");
         }
         assert_that!(reporting.arrivals(), eq(1), "{behaviour:?} on {path}");
-        assert_that!(metric_value(&gateway, metric).await, eq(1.0));
+        assert_that!(metric(&gateway, name).await, eq(1.0));
     }
 }
 
 #[tokio::test]
-async fn endpoints_that_say_they_leave_are_sent_nothing_on_whatever_way() {
+async fn endpoints_that_report_leaving_receive_nothing_on_any_code_path() {
     assert_report_honoured("leaving: 1", "endpoints_leaving").await;
 }
 
 /// Hosts that have sent the endpoint nothing learn from a peer that it is leaving. An
 /// older entry in the store must not undo this.
 #[tokio::test]
-async fn endpoints_that_say_they_leave_are_sent_nothing_by_any_host() {
+async fn endpoints_that_report_leaving_receive_nothing_from_any_host() {
     let first = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let seeds = vec![first.peer_address()];
     let second = TestGateway::start(first.source.clone(), "host-2", seeds).await;
@@ -78,11 +78,11 @@
     let leaving = &first.endpoints[0];
     leaving.set_report("leaving: 1");
     until_arrival(&first, "/safe/", 0).await;
-    let is_informed = async || metric_value(&second, "leaving_heard_from_peers_total").await == 1.0;
+    let is_informed = async || metric(&second, "leaving_heard_from_peers_total").await == 1.0;
     until(is_informed).await;
-    let version = metric_value(&second, "endpoints_version").await;
+    let version = metric(&second, "endpoints_version").await;
     first.source.list(leaving.endpoint.clone());
-    let has_entry = async || metric_value(&second, "endpoints_version").await > version;
+    let has_entry = async || metric(&second, "endpoints_version").await > version;
     until(has_entry).await;
     for _ in 0..20 {
         let received = second.call(Call::get("/safe/").id("r-2")).await;
@@ -101,13 +101,13 @@
 }
 
 #[tokio::test]
-async fn endpoints_that_ask_for_time_are_sent_nothing_on_whatever_way() {
+async fn endpoints_that_back_off_receive_nothing_on_any_code_path() {
     assert_report_honoured("back-off-ms: 60000", "endpoints_backing_off").await;
 }
 
 /// While all endpoints back off, callers are rejected at once with the time to retry.
 #[tokio::test]
-async fn endpoints_that_all_ask_for_time_have_callers_come_back_then() {
+async fn endpoints_that_all_back_off_return_a_retry_delay() {
     const BACKOFF_MS: u64 = 700;
     const REJECTION_TIMEOUT: Duration = Duration::from_millis(200);
     let gateway = TestGateway::with_endpoints(2, Behaviour::Shed).await;
@@ -139,7 +139,7 @@
 /// A caller whose single attempt is shed may retry at once if another endpoint has
 /// capacity.
 #[tokio::test]
-async fn endpoints_that_ask_for_time_leave_callers_to_come_back_at_once() {
+async fn endpoints_that_back_off_do_not_delay_retries_at_others() {
     let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let busy = &gateway.endpoints[0];
     busy.set_behaviour(Behaviour::Shed);
@@ -158,7 +158,7 @@
 /// A backoff belongs to one start of an endpoint: a new list entry or a late answer to
 /// an earlier request must not end it, a restart must.
 #[tokio::test]
-async fn endpoints_that_ask_for_time_get_it_until_they_start_again() {
+async fn endpoints_that_back_off_receive_nothing_until_they_restart() {
     let gateway = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let busy = &gateway.endpoints[0];
     busy.set_behaviour(Behaviour::AnswerAfter(300));
@@ -178,10 +178,10 @@
         busy.clear_report();
     };
     tokio::join!(earlier, shed);
-    let version = metric_value(&gateway, "endpoints_version").await;
+    let version = metric(&gateway, "endpoints_version").await;
     gateway.source.unlist(&busy.endpoint.name);
     gateway.source.list(busy.endpoint.clone());
-    until(async || metric_value(&gateway, "endpoints_version").await >= version + 2.0).await;
+    until(async || metric(&gateway, "endpoints_version").await >= version + 2.0).await;
     busy.set_behaviour(Behaviour::Answer);
     for _ in 0..20 {
         assert_that!(call("r-3").await.status, eq(200));
@@ -200,7 +200,7 @@
 
 /// A backoff applies to the host that received it, not to its peers.
 #[tokio::test]
-async fn endpoints_that_ask_one_host_for_time_are_used_by_others() {
+async fn endpoints_that_back_off_from_one_host_serve_others() {
     let first = TestGateway::with_endpoints(2, Behaviour::Answer).await;
     let seeds = vec![first.peer_address()];
     let second = TestGateway::start(first.source.clone(), "host-2", seeds).await;
@@ -216,17 +216,14 @@
         busy.arrivals() > 1
     })
     .await;
-    assert_that!(metric_value(&first, "endpoints_backing_off").await, eq(1.0));
-    assert_that!(
-        metric_value(&second, "endpoints_backing_off").await,
-        eq(0.0)
-    );
+    assert_that!(metric(&first, "endpoints_backing_off").await, eq(1.0));
+    assert_that!(metric(&second, "endpoints_backing_off").await, eq(0.0));
 }
 
 /// Two of six endpoints shed all requests: hosts must not go on sending to them and
 /// rejecting requests that the others could serve.
 #[tokio::test]
-async fn endpoints_that_ask_for_time_leave_callers_to_be_served() {
+async fn endpoints_that_back_off_leave_the_load_to_others() {
     const ENDPOINTS: usize = 6;
     const BUSY: usize = 2;
     const HOSTS: usize = 2;
--- a/crates/gateway/tests/gateway/eras.rs
+++ b/crates/gateway/tests/gateway/eras.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric_value, rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric, rules, until,
 };
 use googletest::prelude::*;
 
@@ -40,7 +40,7 @@
 
     async fn until_live(&self, count: usize) {
         for host in &self.hosts {
-            until(async || metric_value(host, "endpoints_live").await == count as f64).await;
+            until(async || metric(host, "endpoints_live").await == count as f64).await;
         }
     }
 
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn endpoint_that_leaves_after_the_return_gets_nothing_more() {
+async fn endpoint_that_leaves_after_a_restore_receives_nothing() {
     let fleet = RestoreFleet::start().await;
     fleet.until_live(2).await;
     let snapshot = fleet.source.snapshot();
@@ -76,7 +76,7 @@
 
 /// The second restore comes before all hosts have learned of the first.
 #[tokio::test]
-async fn hosts_follow_two_returns_in_a_row() {
+async fn hosts_follow_two_restores_in_a_row() {
     let fleet = RestoreFleet::start().await;
     fleet.until_live(2).await;
     let snapshot = fleet.source.snapshot();
@@ -90,7 +90,7 @@
 
 /// An endpoint whose entry the snapshot lacks receives requests until it is listed again.
 #[tokio::test]
-async fn endpoint_that_the_copy_lacks_serves_until_it_is_listed_again() {
+async fn endpoint_that_the_snapshot_lacks_serves_until_it_is_listed_again() {
     let fleet = RestoreFleet::start().await;
     fleet.until_live(2).await;
     let snapshot = fleet.source.snapshot();
@@ -101,7 +101,7 @@
     fleet.source.restore(snapshot);
     tokio::time::sleep(Duration::from_millis(800)).await;
     for host in &fleet.hosts {
-        assert_that!(metric_value(host, "endpoints_live").await, eq(3.0));
+        assert_that!(metric(host, "endpoints_live").await, eq(3.0));
     }
     fleet.source.list(late.endpoint.clone());
     // Longer than hosts retain such entries.
@@ -111,7 +111,7 @@
 
 /// A restore must not end an evacuation that the snapshot lacks.
 #[tokio::test]
-async fn evacuation_that_the_copy_lacks_stays_in_force() {
+async fn evacuation_that_the_snapshot_lacks_stays_in_force() {
     let fleet = RestoreFleet::start().await;
     fleet.until_live(2).await;
     let snapshot = fleet.source.snapshot();
--- a/crates/gateway/tests/gateway/evacuations.rs
+++ b/crates/gateway/tests/gateway/evacuations.rs
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn zone_that_is_evacuated_gets_nothing_until_it_is_taken_back() {
+async fn zone_that_is_evacuated_receives_nothing_until_its_evacuation_ends() {
     let fleet = TwoZones::start().await;
     for _ in 0..2 {
         fleet.gateway.source.evacuate(ZONE_A, true);
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn zones_that_are_all_evacuated_leave_a_true_refusal_at_once() {
+async fn zones_that_are_all_evacuated_reject_at_once() {
     let fleet = TwoZones::start().await;
     fleet.gateway.source.evacuate(ZONE_A, true);
     fleet.gateway.source.evacuate(ZONE_B, true);
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn zone_that_was_evacuated_before_the_start_gets_nothing() {
+async fn zone_that_was_evacuated_before_the_start_receives_nothing() {
     let source = TestSource::default();
     source.evacuate(ZONE_A, true);
     source.set_rules(rules(1));
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn request_that_runs_when_its_zone_is_evacuated_goes_on_to_its_end() {
+async fn request_that_runs_when_its_zone_is_evacuated_completes() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let (a, entry) = endpoint_in(ZONE_A, Behaviour::AnswerAfter(300)).await;
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn peers_pass_on_evacuations_and_that_they_end() {
+async fn peers_pass_on_evacuations_and_their_end() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let first = TestGateway::start(source, "host-1", Vec::new()).await;
@@ -181,7 +181,7 @@
 /// After its warm-up, a host sends a cold endpoint its share, here one request, and
 /// the rest to a warm one.
 #[tokio::test]
-async fn endpoint_that_is_cold_gets_its_share() {
+async fn endpoint_that_is_cold_receives_its_share() {
     let source = TestSource::default();
     source.set_rules(cold_pool_rules());
     let (cold, entry_a) = endpoint_in(ZONE_A, Behaviour::Answer).await;
@@ -198,7 +198,7 @@
 /// An endpoint may become cold during the evacuation of its zone, and its entry may
 /// report that late.
 #[tokio::test]
-async fn zone_that_is_taken_back_counts_as_cold() {
+async fn zone_that_ends_its_evacuation_counts_as_cold() {
     let source = TestSource::default();
     source.set_rules(cold_pool_rules());
     let (a, entry_a) = endpoint_in(ZONE_A, Behaviour::Answer).await;
@@ -238,7 +238,7 @@
 /// After a zone restarts, its old entries stay listed for a time. A host must try each
 /// just once, not with every request.
 #[tokio::test]
-async fn endpoint_that_is_another_is_tried_once() {
+async fn endpoint_that_is_replaced_is_tried_once() {
     let gateway = TestGateway::with_endpoints(4, Behaviour::Answer).await;
     let others = [
         Behaviour::Misdirected,
@@ -255,7 +255,7 @@
 
 /// A host learns from a peer that an endpoint no longer exists.
 #[tokio::test]
-async fn peers_pass_on_that_an_endpoint_is_another() {
+async fn peers_pass_on_that_an_endpoint_is_replaced() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let (replaced, entry_a) = endpoint_in(ZONE_A, Behaviour::Misdirected).await;
--- a/crates/gateway/tests/gateway/large_rules.rs
+++ b/crates/gateway/tests/gateway/large_rules.rs
@@ -6,7 +6,7 @@
 use chalkrock_core::{Endpoint, HostState};
 
 use crate::support::{
-    Behaviour, Script, ScriptedEndpoint, SlowLink, TestGateway, TestSource, metric_value, rules,
+    Behaviour, Script, ScriptedEndpoint, SlowLink, TestGateway, TestSource, metric, rules,
     rules_with_routes, until,
 };
 use googletest::prelude::*;
@@ -33,7 +33,7 @@
 
 /// A stalled transfer is abandoned and repeated.
 #[tokio::test(start_paused = true)]
-async fn large_rules_are_asked_for_again_after_a_silence_midway() {
+async fn large_rules_are_requested_again_after_a_stall() {
     const FIRST_BYTES: usize = 40_000;
     /// Less than a pull may take in all.
     const RETRY_TIMEOUT: Duration = Duration::from_secs(8);
@@ -97,7 +97,7 @@
 
 /// A host with the previous version must fetch the changes, not the whole rules.
 #[tokio::test]
-async fn large_rules_cost_a_host_what_they_change() {
+async fn large_rules_cost_a_host_only_their_changes() {
     const MAX_CHANGE_BYTES: u64 = 4_000;
     let first = TestGateway::with_rules(rules_with_routes(1, ROUTES)).await;
     let seed = first.peer_address();
@@ -152,7 +152,7 @@
     first.ready().await;
     let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
-    let pulled = async || metric_value(&second, "peer_pulled_bytes_total").await;
+    let pulled = async || metric(&second, "peer_pulled_bytes_total").await;
     let list_bytes = pulled().await;
     for i in 0..CHANGES {
         source.list(Endpoint {
@@ -161,9 +161,9 @@
         });
     }
     let remaining = (ENDPOINTS - CHANGES) as f64;
-    until(async || metric_value(&second, "endpoints_live").await == remaining).await;
+    until(async || metric(&second, "endpoints_live").await == remaining).await;
     until(async || {
-        let versions = [&first, &second].map(|host| metric_value(host, "endpoints_version"));
+        let versions = [&first, &second].map(|host| metric(host, "endpoints_version"));
         let [first, second] = versions;
         first.await == second.await
     })
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, hosts_with_metric,
-    metric_value, rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, hosts_with, metric, rules,
+    until,
 };
 use chalkrock_core::{Endpoint, HostState};
 use googletest::prelude::*;
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn peers_start_a_host_that_the_platform_does_not_answer() {
+async fn peers_start_a_host_while_the_store_is_unavailable() {
     let (first, second) = two_hosts().await;
     let endpoint =
         ScriptedEndpoint::start("endpoint-0", "pool", Behaviour::Answer, Script::default()).await;
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn peers_start_a_host_that_asks_the_platform_nothing() {
+async fn peers_start_a_host_without_store_calls() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let first = TestGateway::start(source, "host-1", Vec::new()).await;
@@ -67,8 +67,7 @@
         let host = format!("host-{i}");
         hosts.push(TestGateway::start(source.clone(), &host, vec![seed]).await);
     }
-    until(async || hosts_with_metric(&hosts, "peers_heard", (HOSTS - 1) as f64).await == HOSTS)
-        .await;
+    until(async || hosts_with(&hosts, "peers_heard", (HOSTS - 1) as f64).await == HOSTS).await;
     for host in &hosts {
         host.ready().await;
     }
@@ -79,7 +78,7 @@
 /// A host with a free choice of port must start even if its first TCP port is in use for
 /// UDP. With 2,000 ports in use, one of 64 starts almost surely meets such a port.
 #[tokio::test]
-async fn peers_start_beside_ports_that_others_hold_for_datagrams() {
+async fn peers_start_beside_udp_ports_in_use() {
     const PORTS_IN_USE: usize = 2_000;
     const STARTS: usize = 64;
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -223,7 +222,7 @@
 }
 
 #[tokio::test]
-async fn peers_of_a_large_fleet_all_learn_what_a_few_read() {
+async fn peers_of_a_large_fleet_learn_from_few_subscribers() {
     let hosts = large_fleet().await;
     for host in &hosts {
         until(async || host.metrics().await.contains("chalkrock_peers_heard{} 15")).await;
@@ -269,17 +268,15 @@
 async fn peers_of_a_large_zone_report_to_relays_and_know_the_fleet() {
     let hosts = large_zone().await;
     let endpoints = two_endpoints(&hosts[0].source, 60_000).await;
-    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
-    until(async || {
-        hosts_with_metric(&hosts, "peers_heard", (LARGE_ZONE - 1) as f64).await == LARGE_ZONE
-    })
-    .await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
+    until(async || hosts_with(&hosts, "peers_heard", (LARGE_ZONE - 1) as f64).await == LARGE_ZONE)
+        .await;
     let address = hosts[0].running.front_address();
     tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
-    until(async || hosts_with_metric(&hosts, "fleet_requests", 1.0).await == LARGE_ZONE).await;
+    until(async || hosts_with(&hosts, "fleet_requests", 1.0).await == LARGE_ZONE).await;
     let busy = endpoints.iter().position(|e| e.requests().len() == 1);
-    let remote = hosts[LARGE_ZONE - 1].running.front_address();
-    tokio::spawn(async move { Call::get("/safe/").id("next").exchange(remote).await });
+    let other = hosts[LARGE_ZONE - 1].running.front_address();
+    tokio::spawn(async move { Call::get("/safe/").id("next").exchange(other).await });
     let arrived = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     until(async || arrived() == 2).await;
     let idle = &endpoints[1 - busy.expect("one is busy")];
@@ -291,9 +288,9 @@
 async fn peers_of_a_large_zone_send_few_datagrams() {
     const ROUNDS_PER_S: f64 = 5.0;
     let hosts = large_zone().await;
-    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let sent = async |host: &TestGateway| metric_value(host, "peer_datagrams_sent_total").await;
+    let sent = async |host: &TestGateway| metric(host, "peer_datagrams_sent_total").await;
     let mut before = Vec::new();
     for host in &hosts {
         before.push((sent(host).await, tokio::time::Instant::now()));
@@ -312,22 +309,19 @@
 /// A host whose only seed is in a remote zone finds its local peers, even while the store
 /// is unavailable.
 #[tokio::test]
-async fn peers_of_a_large_zone_take_in_a_host_that_knows_one_of_another_zone() {
+async fn peers_of_a_large_zone_accept_a_host_with_a_remote_seed() {
     let mut hosts = large_zone().await;
     let source = hosts[0].source.clone();
     hosts.push(TestGateway::in_zone("zone-b", source, "far", Vec::new()).await);
-    let hosts_total = hosts.len();
-    until(async || {
-        hosts_with_metric(&hosts, "peers_heard", (hosts_total - 1) as f64).await == hosts_total
-    })
-    .await;
+    let total = hosts.len();
+    until(async || hosts_with(&hosts, "peers_heard", (total - 1) as f64).await == total).await;
     let remote = hosts[LARGE_ZONE].running.peer_address();
     let without_store = TestSource::default();
     without_store.set_unavailable(true);
     let seeds = vec![remote.expect("a peer address")];
     let newcomer = TestGateway::in_zone("zone-a", without_store, "newcomer", seeds).await;
-    until(async || metric_value(&newcomer, "goes_by_relay_sums").await == 1.0).await;
-    until(async || metric_value(&newcomer, "peers_heard").await == hosts_total as f64).await;
+    until(async || metric(&newcomer, "goes_by_relay_sums").await == 1.0).await;
+    until(async || metric(&newcomer, "peers_heard").await == total as f64).await;
 }
 
 #[tokio::test]
@@ -336,10 +330,10 @@
     for host in &hosts {
         host.ready().await;
     }
-    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
     let mut relays = Vec::new();
     for i in (0..hosts.len()).rev() {
-        if metric_value(&hosts[i], "goes_by_relay_sums").await == 0.0 {
+        if metric(&hosts[i], "goes_by_relay_sums").await == 0.0 {
             relays.push(hosts.remove(i));
         }
     }
@@ -348,21 +342,18 @@
         relay.running.ended().await;
     }
     let remaining = hosts.len();
-    until(async || {
-        hosts_with_metric(&hosts, "peers_heard", (remaining - 1) as f64).await == remaining
-    })
-    .await;
-    until(async || hosts_with_metric(&hosts, "goes_by_relay_sums", 1.0).await >= remaining - 2)
+    until(async || hosts_with(&hosts, "peers_heard", (remaining - 1) as f64).await == remaining)
         .await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= remaining - 2).await;
     let mut newer = rules(2);
     newer.routes.retain(|route| &*route.name != "safe");
     hosts[0].source.set_rules(newer);
-    until(async || hosts_with_metric(&hosts, "rules_version", 2.0).await == remaining).await;
+    until(async || hosts_with(&hosts, "rules_version", 2.0).await == remaining).await;
 }
 
 /// Random datagrams must not stop a host or change its state.
 #[tokio::test]
-async fn peers_bear_any_datagrams() {
+async fn peers_tolerate_random_datagrams() {
     const SEED: u64 = 23;
     let (first, second) = two_hosts().await;
     let mut random = rand::rngs::StdRng::seed_from_u64(SEED);
@@ -412,10 +403,10 @@
     first.ready().await;
     let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
-    until(async || metric_value(&second, "peers_heard").await == 1.0).await;
+    until(async || metric(&second, "peers_heard").await == 1.0).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     for host in [&first, &second] {
-        let largest = metric_value(host, "peer_datagram_largest_bytes").await;
+        let largest = metric(host, "peer_datagram_largest_bytes").await;
         assert_that!(largest, all!(gt(0.0), le(MAX_PACKET_BYTES)));
     }
 }
--- a/crates/gateway/tests/gateway/rollouts.rs
+++ b/crates/gateway/tests/gateway/rollouts.rs
@@ -264,7 +264,7 @@
 
 /// Any of the hosts may be the writer, so each is isolated in turn.
 #[tokio::test]
-async fn rollout_goes_on_whichever_host_is_cut_off() {
+async fn rollout_continues_when_any_host_is_isolated() {
     for isolated in 0..3 {
         let mut fleet = RolloutFleet::start().await;
         let load = fleet.load();
@@ -279,7 +279,7 @@
 }
 
 #[tokio::test]
-async fn rollout_goes_on_after_the_store_was_away() {
+async fn rollout_continues_after_a_store_outage() {
     let mut fleet = RolloutFleet::start().await;
     let load = fleet.load();
     fleet.order(Behaviour::Fail).await;
@@ -293,7 +293,7 @@
 
 /// A host that restarts must go by the stored record and not begin the rollout again.
 #[tokio::test]
-async fn rollout_is_taken_up_by_hosts_that_have_all_restarted() {
+async fn rollout_is_resumed_by_restarted_hosts() {
     let mut fleet = RolloutFleet::start().await;
     let load = fleet.load();
     fleet.order(Behaviour::Fail).await;
--- a/crates/gateway/tests/gateway/rows.rs
+++ b/crates/gateway/tests/gateway/rows.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric_value, rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric, rules, until,
 };
 use googletest::prelude::*;
 
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn rows_of_other_writers_keep_no_host_from_starting() {
+async fn rows_that_are_unreadable_do_not_block_a_start() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     source.corrupt_endpoint("foreign");
@@ -28,16 +28,13 @@
     gateway.ready().await;
     assert_that!(serves(&gateway).await, eq(true));
     assert_that!(endpoint.arrivals(), eq(1));
-    assert_that!(
-        metric_value(&gateway, "rows_passed_over_total").await,
-        ge(1.0)
-    );
+    assert_that!(metric(&gateway, "rows_passed_over_total").await, ge(1.0));
 }
 
 /// No host uses an endpoint whose row is unreadable, even one that retains lapsed
 /// entries, until the row is readable again.
 #[tokio::test]
-async fn rows_that_are_overwritten_name_no_endpoint() {
+async fn rows_that_become_unreadable_remove_their_endpoint() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let endpoints = [
@@ -50,7 +47,7 @@
     second.ready().await;
     source.corrupt_endpoint("endpoint-0");
     for gateway in [&first, &second] {
-        until(async || metric_value(gateway, "endpoints_live").await == 1.0).await;
+        until(async || metric(gateway, "endpoints_live").await == 1.0).await;
     }
     let before = endpoints[0].arrivals();
     for _ in 0..8 {
@@ -59,19 +56,19 @@
     assert_that!(endpoints[0].arrivals(), eq(before));
     source.list(endpoints[0].endpoint.clone());
     for gateway in [&first, &second] {
-        until(async || metric_value(gateway, "endpoints_live").await == 2.0).await;
+        until(async || metric(gateway, "endpoints_live").await == 2.0).await;
     }
 }
 
 #[tokio::test]
-async fn rows_of_rules_that_can_not_be_read_leave_those_in_force() {
+async fn rows_of_unreadable_rules_leave_the_current_ones_in_force() {
     let source = TestSource::default();
     source.set_rules(rules(1));
     let _endpoint = endpoint("endpoint-0", &source).await;
     let gateway = TestGateway::start(source.clone(), "host-1", Vec::new()).await;
     gateway.ready().await;
     source.corrupt_rules();
-    until(async || metric_value(&gateway, "rows_passed_over_total").await >= 1.0).await;
+    until(async || metric(&gateway, "rows_passed_over_total").await >= 1.0).await;
     assert_that!(serves(&gateway).await, eq(true));
     source.set_rules(rules(2));
     let has_newer_rules = until(async || gateway.has_rules(2).await);
--- a/crates/gateway/tests/gateway/silences.rs
+++ b/crates/gateway/tests/gateway/silences.rs
@@ -80,7 +80,7 @@
 
 /// While the store is silent, hosts must join the subscribers gradually, not all at once.
 #[tokio::test(start_paused = true)]
-async fn silence_is_watched_by_few_hosts_of_a_large_zone() {
+async fn silence_is_polled_by_few_hosts_of_a_large_zone() {
     const SETTLE_TIME: Duration = Duration::from_secs(20);
     const SILENCE: Duration = Duration::from_secs(8);
     let (source, hosts) = start_hosts(LARGE_ZONE, 3_000).await;
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_is_watched_for_with_few_calls() {
+async fn silence_is_detected_with_few_calls() {
     const HOSTS: u32 = 8;
     const DURATION: Duration = Duration::from_secs(40);
     /// Calls if every host waited for two topics, 10 s per call.
@@ -108,7 +108,7 @@
 
 /// A slow store must not count as silent, nor keep a host from starting.
 #[tokio::test(start_paused = true)]
-async fn silence_is_not_taken_for_slowness() {
+async fn silence_is_not_assumed_for_a_slow_store() {
     for answer_ms in [200, 800, 1_600] {
         let source = TestSource::default();
         source.set_rules(rules(1));
--- a/crates/gateway/tests/gateway/slow_readers.rs
+++ b/crates/gateway/tests/gateway/slow_readers.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric_value, receive,
-    rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, metric, receive, rules,
+    until,
 };
 use chalkrock_routing::{CallerLimits, OrganisationRules, RulesDocument};
 use googletest::prelude::*;
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn answers_that_are_left_unread_stay_within_their_room() {
+async fn answers_that_are_unread_stay_within_the_memory_limit() {
     const CAPACITY_BYTES: usize = 16 * MB;
     const ANSWER_BYTES: usize = 3 * MB;
     const CALLERS: usize = 8;
@@ -73,9 +73,9 @@
         let call = Call::post("/patient/", &vec![b'a'; ANSWER_BYTES]).id(&format!("slow-{number}"));
         unread.push(send_unread(&gateway, &call).await);
     }
-    until(async || metric_value(&gateway, HELD_BYTES).await > (3 * ANSWER_BYTES / 2) as f64).await;
+    until(async || metric(&gateway, HELD_BYTES).await > (3 * ANSWER_BYTES / 2) as f64).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let held = metric_value(&gateway, HELD_BYTES).await;
+    let held = metric(&gateway, HELD_BYTES).await;
     assert_that!(
         held,
         le(0.8 * CAPACITY_BYTES as f64),
@@ -95,25 +95,25 @@
         assert_that!(answer.status, eq(200));
         assert_that!(answer.body.len(), eq(ANSWER_BYTES));
     }
-    until(async || metric_value(&gateway, HELD_BYTES).await == 0.0).await;
+    until(async || metric(&gateway, HELD_BYTES).await == 0.0).await;
 }
 
 #[tokio::test]
-async fn caller_that_takes_nothing_loses_its_connection() {
+async fn caller_that_reads_nothing_loses_its_connection() {
     const IDLE_TIMEOUT_MS: u64 = 400;
     let (source, _endpoint) = source(Behaviour::Answer, IDLE_TIMEOUT_MS).await;
     let gateway = TestGateway::with_max_answer_bytes(source, 16 * MB).await;
     gateway.ready().await;
     let call = Call::post("/safe/", &vec![b'a'; 3 * MB]).id("never-read");
     let _unread = send_unread(&gateway, &call).await;
-    until(async || metric_value(&gateway, HELD_BYTES).await > 0.0).await;
-    until(async || metric_value(&gateway, HELD_BYTES).await == 0.0).await;
+    until(async || metric(&gateway, HELD_BYTES).await > 0.0).await;
+    until(async || metric(&gateway, HELD_BYTES).await == 0.0).await;
 }
 
 /// A stream whose endpoint disconnects while the caller reads nothing must still arrive
 /// complete and in order.
 #[tokio::test]
-async fn stream_that_was_left_unread_comes_whole() {
+async fn stream_that_was_unread_arrives_complete() {
     const LAST: u64 = 150_000;
     let (source, first) = source(Behaviour::StreamUntilReset { last: LAST }, 60_000).await;
     let gateway = TestGateway::start(source, "host-1", Vec::new()).await;
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn bodies_of_one_organisation_leave_the_others_room() {
+async fn bodies_of_one_organisation_leave_capacity_to_others() {
     const CAPACITY_BYTES: usize = MB;
     const BODY_BYTES: usize = 200 * 1024;
     let (source, _endpoint) = source(Behaviour::AnswerAfter(1_500), 60_000).await;
@@ -167,10 +167,8 @@
         let call = call(&format!("held-{number}"), crate::support::KEY);
         held.push(call.send(address).await);
     }
-    until(async || {
-        metric_value(&gateway, "caller_bodies_held_bytes").await >= (4 * BODY_BYTES) as f64
-    })
-    .await;
+    until(async || metric(&gateway, "caller_bodies_held_bytes").await >= (4 * BODY_BYTES) as f64)
+        .await;
     let fifth = gateway.call(call("fifth", crate::support::KEY)).await;
     assert_that!(fifth.status, eq(503), "a fifth is reserved for others");
     let other = gateway.call(call("other", OTHER_KEY)).await;
--- a/crates/gateway/tests/gateway/stops.rs
+++ b/crates/gateway/tests/gateway/stops.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 
 #[tokio::test]
-async fn stop_lets_what_runs_end() {
+async fn stop_lets_running_requests_complete() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::AnswerAfter(1_200)).await;
     let address = gateway.running.front_address();
     let running =
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn stop_is_told_at_once_to_the_entry_and_to_callers() {
+async fn stop_fails_readiness_and_closes_connections_at_once() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     gateway.stop.stop();
     while gateway.ready_status().await != 503 {
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn stop_refuses_late_requests_and_sends_callers_elsewhere() {
+async fn stop_rejects_late_requests_with_a_retry_delay() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     gateway.endpoints[0].set_behaviour(Behaviour::Silent);
     let address = gateway.running.front_address();
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn stop_closes_connections_that_rest() {
+async fn stop_closes_idle_connections() {
     let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let address = gateway.running.front_address();
     let mut stream = TcpStream::connect(address).await.expect("a connection");
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn stream_is_passed_on_whole_and_unchanged() {
+async fn stream_is_forwarded_unchanged() {
     for path in ["/stream/", "/resumable/"] {
         let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
         let received = gateway.call(Call::post(path, b"x").id("r-1")).await;
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn stream_that_breaks_off_goes_on_elsewhere_if_it_may() {
+async fn stream_that_breaks_off_is_resumed_if_resumable() {
     for cut_at in [0, 1, 5, LAST_EVENT] {
         let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
         gateway.script.push([cut_stream(cut_at)]);
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn stream_goes_on_more_than_once() {
+async fn stream_is_resumed_more_than_once() {
     let gateway = TestGateway::with_endpoints(3, whole_stream()).await;
     gateway.script.push([cut_stream(2), cut_stream(6)]);
     let received = call_resumable(&gateway).await;
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn stream_that_falls_silent_goes_on_elsewhere_if_it_may() {
+async fn stream_that_stalls_is_resumed_if_resumable() {
     let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
     gateway
         .script
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn stream_that_may_not_be_resumed_breaks_off_and_is_not_run_again() {
+async fn stream_that_is_not_resumable_is_not_run_again() {
     let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
     gateway.script.push([cut_stream(4)]);
     let received = gateway.call(Call::post("/stream/", b"x").id("r-1")).await;
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn stream_that_breaks_off_everywhere_does_not_look_complete() {
+async fn stream_that_breaks_off_everywhere_ends_incomplete() {
     let gateway = TestGateway::with_endpoints(3, cut_stream(4)).await;
     let received = call_resumable(&gateway).await;
     assert_that!(received.events(), eq(&[0, 1, 2, 3]));
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn stream_of_a_failed_endpoint_begins_elsewhere_if_it_may() {
+async fn stream_of_a_failed_endpoint_is_retried_if_resumable() {
     let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
     gateway.script.push([Behaviour::Fail]);
     let received = call_resumable(&gateway).await;
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn stream_goes_on_after_the_event_that_the_caller_names() {
+async fn stream_starts_after_the_event_that_the_caller_names() {
     let gateway = TestGateway::with_endpoints(2, whole_stream()).await;
     gateway.script.push([cut_stream(7)]);
     let call = Call::post("/resumable/", b"x")
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn stream_ends_when_the_caller_leaves() {
+async fn stream_ends_when_the_caller_disconnects() {
     for path in ["/stream/", "/resumable/"] {
         let gateway = TestGateway::with_endpoints(1, Behaviour::StreamThenStall { last: 3 }).await;
         let call = Call::post(path, b"x").id("r-1");
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn stream_tells_where_its_prefix_lies() {
+async fn stream_names_the_holder_of_its_prefix() {
     let gateway = TestGateway::with_endpoints(4, whole_stream()).await;
     let call = |id: &str| {
         Call::post("/stream/", b"x")
--- a/crates/gateway/tests/gateway/support/crashing.rs
+++ b/crates/gateway/tests/gateway/support/crashing.rs
@@ -25,7 +25,7 @@
 
 #[derive(Default)]
 struct State {
-    received_bodies: Vec<Vec<u8>>,
+    bodies: Vec<Vec<u8>>,
     crashes: usize,
 }
 
@@ -82,11 +82,7 @@
     /// Returns the number of received requests with a body.
     pub(crate) fn arrivals_with_body(&self, body: &[u8]) -> usize {
         let state = self.state();
-        state
-            .received_bodies
-            .iter()
-            .filter(|received| *received == body)
-            .count()
+        state.bodies.iter().filter(|other| *other == body).count()
     }
 
     /// Returns the number of crashes.
@@ -163,7 +159,7 @@
     async fn serve(self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Some(request) = read_request(&mut stream, &mut buffer).await {
-            self.state().received_bodies.push(request.body.clone());
+            self.state().bodies.push(request.body.clone());
             if !self.is_open_after_queue_delay(&mut stream).await {
                 return;
             }
--- a/crates/gateway/tests/gateway/support/endpoint.rs
+++ b/crates/gateway/tests/gateway/support/endpoint.rs
@@ -54,12 +54,12 @@
 
 /// A request as the endpoint received it.
 #[derive(Clone, Debug)]
-pub(crate) struct RecordedRequest {
+pub(crate) struct Request {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
-impl RecordedRequest {
+impl Request {
     /// Returns a header's value.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().skip(1);
@@ -91,7 +91,7 @@
     behaviour: Behaviour,
     /// Header lines added to every answer.
     report: String,
-    requests: Vec<RecordedRequest>,
+    requests: Vec<Request>,
 }
 
 /// An endpoint with scripted behaviour.
@@ -159,7 +159,7 @@
     }
 
     /// Returns all received requests.
-    pub(crate) fn requests(&self) -> Vec<RecordedRequest> {
+    pub(crate) fn requests(&self) -> Vec<Request> {
         self.state().requests.clone()
     }
 
@@ -170,11 +170,8 @@
 
     /// Returns the number of received requests with an id.
     pub(crate) fn run_count(&self, id: &str) -> usize {
-        let requests = self.requests();
-        requests
-            .iter()
-            .filter(|r| r.header("id") == Some(id))
-            .count()
+        let all = self.requests();
+        all.iter().filter(|r| r.header("id") == Some(id)).count()
     }
 
     /// Returns the number of accepted connections.
@@ -223,7 +220,7 @@
     async fn respond(
         &self,
         stream: &mut TcpStream,
-        request: &RecordedRequest,
+        request: &Request,
         behaviour: Behaviour,
     ) -> bool {
         let id = request.header("id").unwrap_or_default().to_owned();
@@ -314,7 +311,7 @@
     async fn stream(
         &self,
         stream: &mut TcpStream,
-        request: &RecordedRequest,
+        request: &Request,
         id: &str,
         last: u64,
         cut_at: Option<u64>,
@@ -370,7 +367,7 @@
     format!("id: {number}\ndata: event {number}\n\n").into_bytes()
 }
 
-fn first_event(request: &RecordedRequest) -> u64 {
+fn first_event(request: &Request) -> u64 {
     let after = request.header("after").and_then(|after| after.parse().ok());
     after.map_or(0, |after: u64| after + 1)
 }
@@ -387,7 +384,7 @@
 }
 
 /// Returns a complete 200 answer with the request's body.
-pub(super) fn answer(request: &RecordedRequest) -> Vec<u8> {
+pub(super) fn answer(request: &Request) -> Vec<u8> {
     let id = request.header("id").unwrap_or_default();
     let length = request.body.len();
     let head =
@@ -399,14 +396,11 @@
     stream.set_zero_linger().expect("a socket");
 }
 
-pub(super) async fn read_request(
-    stream: &mut TcpStream,
-    buffer: &mut Vec<u8>,
-) -> Option<RecordedRequest> {
+pub(super) async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Request> {
     loop {
         if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
-            let request = RecordedRequest {
+            let request = Request {
                 head,
                 body: Vec::new(),
             };
@@ -418,7 +412,7 @@
             if buffer.len() >= total {
                 let body = buffer[end + 4..total].to_vec();
                 buffer.drain(..total);
-                return Some(RecordedRequest { body, ..request });
+                return Some(Request { body, ..request });
             }
         }
         let read = stream.read_buf(buffer).await.ok()?;
--- a/crates/gateway/tests/gateway/support/fleet.rs
+++ b/crates/gateway/tests/gateway/support/fleet.rs
@@ -458,7 +458,7 @@
 }
 
 /// Returns the value of a host's metric, or 0 if it is missing.
-pub(crate) async fn metric_value(host: &TestGateway, name: &str) -> f64 {
+pub(crate) async fn metric(host: &TestGateway, name: &str) -> f64 {
     let metrics = host.metrics().await;
     let prefix = format!("chalkrock_{name}{{}} ");
     let mut lines = metrics.lines();
@@ -467,10 +467,10 @@
 }
 
 /// Returns how many hosts have a value in a metric.
-pub(crate) async fn hosts_with_metric(hosts: &[TestGateway], name: &str, value: f64) -> usize {
+pub(crate) async fn hosts_with(hosts: &[TestGateway], name: &str, value: f64) -> usize {
     let mut count = 0;
     for host in hosts {
-        count += usize::from(metric_value(host, name).await == value);
+        count += usize::from(metric(host, name).await == value);
     }
     count
 }
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -12,8 +12,7 @@
 pub(crate) use edge::TestEdge;
 pub(crate) use endpoint::{Behaviour, Script, ScriptedEndpoint, event};
 pub(crate) use fleet::{
-    Call, KEY, Received, TestGateway, hosts_with_metric, metric_value, receive, rules,
-    rules_with_routes, until,
+    Call, KEY, Received, TestGateway, hosts_with, metric, receive, rules, rules_with_routes, until,
 };
 pub(crate) use link::SlowLink;
 pub(crate) use source::TestSource;
--- a/crates/gateway/tests/gateway/suspensions.rs
+++ b/crates/gateway/tests/gateway/suspensions.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, SuspendableGateway, TestGateway, TestSource,
-    metric_value, rules, until,
+    Behaviour, Call, Script, ScriptedEndpoint, SuspendableGateway, TestGateway, TestSource, metric,
+    rules, until,
 };
 use chalkrock_core::Endpoint;
 use googletest::prelude::*;
@@ -41,8 +41,8 @@
         let subscriber = TestGateway::start(source.clone(), "reader", Vec::new()).await;
         subscriber.ready().await;
         let host = SuspendableGateway::start("host", vec![subscriber.peer_address()]).await;
-        until(async || metric_value(&host.gateway, "endpoints_live").await == 2.0).await;
-        until(async || metric_value(&host.gateway, "peers_heard").await == 1.0).await;
+        until(async || metric(&host.gateway, "endpoints_live").await == 2.0).await;
+        until(async || metric(&host.gateway, "peers_heard").await == 1.0).await;
         Self {
             source,
             subscriber,
@@ -53,15 +53,15 @@
 
     /// Suspends the host while the store changes and the subscriber learns of it; the
     /// steady clock misses `uncounted`. Returns the status of a request sent meanwhile.
-    async fn status_after_suspension(
+    async fn after_suspension(
         &self,
         blocked: Duration,
         uncounted: Duration,
         change: impl FnOnce(&Self),
     ) -> u16 {
-        let version = async || metric_value(&self.subscriber, "endpoints_version").await;
-        let rules = async || metric_value(&self.subscriber, "rules_version").await;
-        let evacuations = async || metric_value(&self.subscriber, "evacuated_zones").await;
+        let version = async || metric(&self.subscriber, "endpoints_version").await;
+        let rules = async || metric(&self.subscriber, "rules_version").await;
+        let evacuations = async || metric(&self.subscriber, "evacuated_zones").await;
         let before = (version().await, rules().await, evacuations().await);
         self.host.block_for(blocked);
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -85,25 +85,20 @@
 }
 
 #[tokio::test]
-async fn pauses_end_before_old_rules_are_used() {
+async fn suspension_refreshes_rules_before_requests() {
     for (blocked, uncounted) in suspensions() {
         let pair = HostPair::start().await;
         let mut newer = rules(2);
         newer.routes.retain(|route| &*route.name != "safe");
         let change = |pair: &HostPair| pair.source.set_rules(newer);
-        let status = pair
-            .status_after_suspension(blocked, uncounted, change)
-            .await;
+        let status = pair.after_suspension(blocked, uncounted, change).await;
         assert_that!(status, eq(404), "{uncounted:?}");
-        assert_that!(
-            metric_value(&pair.host.gateway, "pauses_total").await,
-            ge(1.0)
-        );
+        assert_that!(metric(&pair.host.gateway, "pauses_total").await, ge(1.0));
     }
 }
 
 #[tokio::test]
-async fn pauses_end_before_an_endpoint_is_sent_what_it_may_no_longer_have() {
+async fn suspension_refreshes_the_endpoint_list_before_requests() {
     type Change = fn(&HostPair);
     let changes: [(&str, Change); 4] = [
         ("leaves", |pair| {
@@ -130,9 +125,7 @@
         for (case, change) in changes {
             let pair = HostPair::start().await;
             let before = pair.endpoints[0].arrivals();
-            let status = pair
-                .status_after_suspension(blocked, uncounted, change)
-                .await;
+            let status = pair.after_suspension(blocked, uncounted, change).await;
             assert_that!(status, eq(200), "{case}, {uncounted:?}");
             for _ in 0..6 {
                 assert_that!(pair.call().await, eq(200), "{case}, {uncounted:?}");
@@ -146,7 +139,7 @@
 /// A host must not take its own suspension for an outage of the store, in which it would
 /// retain removed endpoints.
 #[tokio::test]
-async fn pauses_of_a_host_are_none_of_the_store() {
+async fn suspension_of_a_host_is_not_an_outage_of_the_store() {
     for (blocked, uncounted) in [
         (BLOCKED, SUSPENSIONS[1]),
         (Duration::from_secs(4), Duration::ZERO),
@@ -159,17 +152,17 @@
         // Until the host learns of a store answer after the suspension.
         tokio::time::sleep(Duration::from_millis(400)).await;
         pair.source.unlist(&pair.endpoints[0].endpoint.name);
-        let version = async |gateway| metric_value(gateway, "endpoints_version").await;
+        let version = async |gateway| metric(gateway, "endpoints_version").await;
         until(async || version(&pair.subscriber).await == 4.0).await;
         until(async || version(&pair.host.gateway).await == 4.0).await;
-        let live = metric_value(&pair.host.gateway, "endpoints_live").await;
+        let live = metric(&pair.host.gateway, "endpoints_live").await;
         assert_that!(live, eq(1.0), "{uncounted:?}");
     }
 }
 
 /// Deadlines of waiting requests include the suspension of the host.
 #[tokio::test]
-async fn pauses_count_for_what_waits() {
+async fn suspension_counts_towards_deadlines() {
     let pair = HostPair::start().await;
     pair.endpoints
         .iter()
@@ -199,7 +192,7 @@
 
 /// A host that reaches neither the store nor a peer goes on with its stale view.
 #[tokio::test]
-async fn pauses_do_not_end_the_service_of_a_host_that_is_alone() {
+async fn suspension_of_an_isolated_host_does_not_end_its_service() {
     let pair = HostPair::start().await;
     pair.subscriber.stop.stop();
     pair.subscriber.running.ended().await;
@@ -220,9 +213,9 @@
 /// A suspension directly after the start must be detected, before the first regular look at
 /// the clocks.
 #[tokio::test]
-async fn pauses_show_from_the_start_on() {
+async fn suspension_is_detected_directly_after_the_start() {
     let subscriber = TestGateway::with_rules(rules(1)).await;
     let host = SuspendableGateway::start("host", vec![subscriber.peer_address()]).await;
     host.block_for(STOPPED);
-    until(async || metric_value(&host.gateway, "pauses_total").await >= 1.0).await;
+    until(async || metric(&host.gateway, "pauses_total").await >= 1.0).await;
 }
