--- a/crates/gateway/tests/gateway/calls.rs
+++ b/crates/gateway/tests/gateway/calls.rs
@@ -334,8 +334,8 @@
     wait_for_arrival("r-1").await;
     wait_for_arrival("r-2").await;
     let excess = Call::post("/unsafe/", &vec![b'x'; LARGE_BYTES]).id("r-3");
-    let refused = gateway.call(excess).await;
-    assert_that!(refused.status, eq(503));
+    let rejected = gateway.call(excess).await;
+    assert_that!(rejected.status, eq(503));
     assert_that!(endpoint.run_count("r-3"), eq(0));
     let _small = Call::post("/patient/", b"x").id("r-4").send(address).await;
     wait_for_arrival("r-4").await;
--- a/crates/gateway/tests/gateway/crashes.rs
+++ b/crates/gateway/tests/gateway/crashes.rs
@@ -206,9 +206,7 @@
     for i in 0..COPIES {
         let name = format!("endpoint-{i}");
         let queue_delay = STEP * i as u32;
-        endpoints.push(
-            CrashingEndpoint::start_with_queue_delay(&name, source.clone(), queue_delay).await,
-        );
+        endpoints.push(CrashingEndpoint::start_queueing(&name, source.clone(), queue_delay).await);
     }
     let hosts = start_hosts(&source, 1).await;
     let fleet = CrashFleet { hosts, endpoints };
--- a/crates/gateway/tests/gateway/endpoint_reports.rs
+++ b/crates/gateway/tests/gateway/endpoint_reports.rs
@@ -15,9 +15,9 @@
     ("/unsafe/", Behaviour::FailBusy),
     ("/safe/", Behaviour::Shed),
     ("/once/", Behaviour::Shed),
-    ("/safe/", Behaviour::MismatchedId),
+    ("/safe/", Behaviour::WrongId),
     ("/safe/", Behaviour::Unsigned),
-    ("/safe/", Behaviour::TruncatedBody),
+    ("/safe/", Behaviour::ShortBody),
     ("/safe/", Behaviour::Unframed),
     (
         "/stream/",
@@ -249,17 +249,17 @@
             answers.push(tokio::spawn(async move { call.exchange(address).await }));
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let mut refused = 0;
+        let mut rejected = 0;
         for answer in &mut answers {
-            refused += usize::from(answer.await.expect("an answer").status != 200);
+            rejected += usize::from(answer.await.expect("an answer").status != 200);
         }
-        (answers.len(), refused)
+        (answers.len(), rejected)
     };
     let (first_counts, second_counts) = tokio::join!(send_load(&first), send_load(&second));
     let sent = first_counts.0 + second_counts.0;
-    let refused = first_counts.1 + second_counts.1;
+    let rejected = first_counts.1 + second_counts.1;
     let busy = first.endpoints[..BUSY].iter();
     let arrivals: usize = busy.map(|endpoint| endpoint.arrivals()).sum();
-    assert_that!(arrivals, le(MAX_ARRIVALS), "{refused} of {sent} refused");
-    assert_that!(refused, le(arrivals), "{refused} of {sent} refused");
+    assert_that!(arrivals, le(MAX_ARRIVALS), "{rejected} of {sent} rejected");
+    assert_that!(rejected, le(arrivals), "{rejected} of {sent} rejected");
 }
--- a/crates/gateway/tests/gateway/rollouts.rs
+++ b/crates/gateway/tests/gateway/rollouts.rs
@@ -58,7 +58,7 @@
         let mut hosts: Vec<TestGateway> = Vec::new();
         for i in 0..HOSTS {
             let seeds = hosts.iter().map(TestGateway::peer_address).collect();
-            let handle = source.handle_for_another_host();
+            let handle = source.another_handle();
             let host = TestGateway::start(handle, &format!("host-{i}"), seeds).await;
             host.ready().await;
             hosts.push(host);
@@ -143,7 +143,7 @@
     fleet.until_stage(RolloutStage::Done).await;
     assert_that!(ordered_at.elapsed(), le(Duration::from_millis(DEADLINE_MS)));
     let (old, new) = fleet.arrivals_in_window().await;
-    assert_that!(old, eq(0), "the old build gets nothing once it is done");
+    assert_that!(old, eq(0), "the old build receives nothing once it is done");
     assert_that!(new, gt(20));
     let stages = [
         RolloutStage::Canary,
@@ -300,7 +300,7 @@
     fleet.until_stage(RolloutStage::RolledBack).await;
     stop_load(load);
     let written = fleet.source.stages().len();
-    let source = fleet.source.handle_for_another_host();
+    let source = fleet.source.another_handle();
     let restarted = TestGateway::start(source, "host-anew", Vec::new()).await;
     restarted.ready().await;
     tokio::time::sleep(Duration::from_millis(1_000)).await;
--- a/crates/gateway/tests/gateway/support/crashing.rs
+++ b/crates/gateway/tests/gateway/support/crashing.rs
@@ -55,12 +55,8 @@
     }
 
     /// Like `start`; requests are queued for a time before they run.
-    pub(crate) async fn start_with_queue_delay(
-        name: &str,
-        source: TestSource,
-        queue_delay: Duration,
-    ) -> Self {
-        Self::with(name, source, queue_delay, false).await
+    pub(crate) async fn start_queueing(name: &str, source: TestSource, delay: Duration) -> Self {
+        Self::with(name, source, delay, false).await
     }
 
     async fn with(name: &str, source: TestSource, queue_delay: Duration, keeps_name: bool) -> Self {
--- a/crates/gateway/tests/gateway/support/endpoint.rs
+++ b/crates/gateway/tests/gateway/support/endpoint.rs
@@ -30,11 +30,11 @@
     /// Sends bytes that are not HTTP.
     Garbage,
     /// Sends an answer with another request's id.
-    MismatchedId,
+    WrongId,
     /// Sends a second answer after the first.
     ExtraAnswer,
     /// Closes the connection before the last byte of the body.
-    TruncatedBody,
+    ShortBody,
     /// Answers 200 without a signature.
     Unsigned,
     /// Never answers.
@@ -258,13 +258,13 @@
                 send(stream, b"\x00\x01 this is no answer\r\n\r\n").await;
                 false
             }
-            Behaviour::MismatchedId => send(stream, &reply("200 OK", "other", SIGNED)).await,
+            Behaviour::WrongId => send(stream, &reply("200 OK", "other", SIGNED)).await,
             Behaviour::ExtraAnswer => {
                 let answer = reply("200 OK", &id, SIGNED);
                 let extra = reply("200 OK", "other", SIGNED);
                 send(stream, &[answer, extra].concat()).await
             }
-            Behaviour::TruncatedBody => {
+            Behaviour::ShortBody => {
                 let answer = reply("200 OK", &id, SIGNED);
                 send(stream, &answer[..answer.len() - 1]).await;
                 false
--- a/crates/gateway/tests/gateway/support/fleet.rs
+++ b/crates/gateway/tests/gateway/support/fleet.rs
@@ -222,13 +222,13 @@
     }
 
     async fn from_config(config: GatewayConfig, source: TestSource) -> Self {
-        let (stop, stop_requested) = stop_pair();
+        let (stop, stop_signal) = stop_pair();
         let (_, reloads) = mpsc::channel(1);
         let running = start(
             config,
             Box::new(TestEdge),
             source.clone(),
-            stop_requested,
+            stop_signal,
             reloads,
         )
         .await
--- a/crates/gateway/tests/gateway/support/source.rs
+++ b/crates/gateway/tests/gateway/support/source.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns a handle to the same store that can be isolated separately.
-    pub(crate) fn handle_for_another_host(&self) -> Self {
+    pub(crate) fn another_handle(&self) -> Self {
         Self {
             is_isolated: Arc::default(),
             ..self.clone()
--- a/crates/gateway/tests/gateway/support/suspendable.rs
+++ b/crates/gateway/tests/gateway/support/suspendable.rs
@@ -44,23 +44,16 @@
         });
         let config = config("zone-a", host, seeds);
         let config = config.host_clock(clock.clone()).build();
-        let (stop, stop_requested) = stop_pair();
+        let (stop, stop_signal) = stop_pair();
         let (block_sender, mut blocks) = mpsc::unbounded_channel();
         let (started, running) = tokio::sync::oneshot::channel();
-        let thread_source = source.clone();
+        let store = source.clone();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread();
             let runtime = { runtime }.enable_all().build().expect("a runtime");
             runtime.block_on(async move {
                 let (_, reloads) = mpsc::channel(1);
-                let gateway = start(
-                    config,
-                    Box::new(TestEdge),
-                    thread_source,
-                    stop_requested,
-                    reloads,
-                )
-                .await;
+                let gateway = start(config, Box::new(TestEdge), store, stop_signal, reloads).await;
                 let _test_may_have_ended = started.send(gateway.expect("the gateway starts"));
                 while let Some(duration) = blocks.recv().await {
                     // Blocks all tasks of the gateway.
--- a/crates/gateway/tests/gateway/suspensions.rs
+++ b/crates/gateway/tests/gateway/suspensions.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// Deadlines of waiting requests include the suspension of the host.
+/// The deadline of a waiting request goes on while its host is suspended.
 #[tokio::test]
 async fn suspension_counts_towards_deadlines() {
     let pair = HostPair::start().await;
