--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -1,10 +1,10 @@
-//! Hosts tell each other what the platform can't.
+//! Peer exchange of rules, lists and loads, also while the store is unavailable.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::support::{
-    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, figure, hosts_with, rules,
+    Behaviour, Call, Script, ScriptedEndpoint, TestGateway, TestSource, hosts_with, metric, rules,
     until,
 };
 use chalkrock_core::{Endpoint, HostState};
@@ -13,15 +13,15 @@
 
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// Two hosts with platforms of their own, so that one may be cut off alone.
+/// Starts two hosts; the store of the second is unavailable.
 async fn two_hosts() -> (TestGateway, TestGateway) {
-    let first = TestGateway::serving(rules(1)).await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let first = TestGateway::with_rules(rules(1)).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     (first, second)
 }
 
 #[tokio::test]
-async fn peers_start_a_host_that_the_platform_does_not_answer() {
+async fn peers_start_a_host_while_the_store_is_unavailable() {
     let (first, second) = two_hosts().await;
     let endpoint =
         ScriptedEndpoint::start("endpoint-0", "pool", Behaviour::Answer, Script::default()).await;
@@ -31,10 +31,10 @@
 }
 
 #[tokio::test]
-async fn peers_start_a_host_that_asks_the_platform_nothing() {
+async fn peers_start_a_host_without_store_calls() {
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let first = TestGateway::with(source, "host-1", Vec::new()).await;
+    let first = TestGateway::start(source, "host-1", Vec::new()).await;
     first.ready().await;
     let seed = first.peer_address();
     let endpoint =
@@ -43,7 +43,7 @@
     until(async || first.call(Call::get("/safe/").id("r-1")).await.status == 200).await;
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let second = TestGateway::with(source, "host-2", vec![seed]).await;
+    let second = TestGateway::start(source, "host-2", vec![seed]).await;
     second.ready().await;
     assert_that!(
         second.call(Call::get("/safe/").id("r-2")).await.status,
@@ -52,21 +52,20 @@
     assert_that!(second.source.calls(), eq(0));
 }
 
-/// Hosts that start beside one that serves call the platform only where they
-/// come to read it for others: each would make four calls by itself, two for
-/// what it reads and two to find the others.
+/// Hosts that start beside a running one must learn from it: only subscribers call the
+/// store.
 #[tokio::test]
 async fn peers_of_a_fleet_that_starts_make_few_calls() {
     const HOSTS: usize = 24;
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let first = TestGateway::with(source.clone(), "host-0", Vec::new()).await;
+    let first = TestGateway::start(source.clone(), "host-0", Vec::new()).await;
     first.ready().await;
     let seed = first.peer_address();
     let mut hosts = vec![first];
     for i in 1..HOSTS {
         let host = format!("host-{i}");
-        hosts.push(TestGateway::with(source.clone(), &host, vec![seed]).await);
+        hosts.push(TestGateway::start(source.clone(), &host, vec![seed]).await);
     }
     until(async || hosts_with(&hosts, "peers_heard", (HOSTS - 1) as f64).await == HOSTS).await;
     for host in &hosts {
@@ -76,23 +75,22 @@
     assert_that!(source.calls(), lt(2 * HOSTS as u32));
 }
 
-// A host that may listen on any port was given one for its connections that another
-// process had for datagrams, and did not start. Of 28,000 ports 2,000 are held here, so
-// that one of 64 starts meets one of them but in 1 of 100 runs.
+/// A host with a free choice of port must start even if its first TCP port is in use for
+/// UDP. With 2,000 ports in use, one of 64 starts almost surely meets such a port.
 #[tokio::test]
-async fn peers_start_beside_ports_that_others_hold_for_datagrams() {
-    const HELD: usize = 2_000;
+async fn peers_start_beside_udp_ports_in_use() {
+    const PORTS_IN_USE: usize = 2_000;
     const STARTS: usize = 64;
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let hold = |_| std::net::UdpSocket::bind(any).expect("a port");
-    let held: Vec<_> = (0..HELD).map(hold).collect();
+    let bind = |_| std::net::UdpSocket::bind(any).expect("a port");
+    let sockets: Vec<_> = (0..PORTS_IN_USE).map(bind).collect();
     for i in 0..STARTS {
         let source = TestSource::default();
-        let host = TestGateway::with(source, &format!("host-{i}"), Vec::new()).await;
-        let own = host.peer_address();
-        let is_held =
-            |socket: &std::net::UdpSocket| socket.local_addr().expect("an address") == own;
-        assert_that!(held.iter().any(is_held), eq(false));
+        let host = TestGateway::start(source, &format!("host-{i}"), Vec::new()).await;
+        let address = host.peer_address();
+        let has_port =
+            |socket: &std::net::UdpSocket| socket.local_addr().expect("an address") == address;
+        assert_that!(sockets.iter().any(has_port), eq(false));
     }
 }
 
@@ -111,32 +109,32 @@
     let (first, second) = two_hosts().await;
     let mut endpoints = Vec::new();
     for name in ["endpoint-0", "endpoint-1"] {
-        let usual = Behaviour::Answer;
-        let endpoint = ScriptedEndpoint::start(name, "pool", usual, Script::default()).await;
+        let behaviour = Behaviour::Answer;
+        let endpoint = ScriptedEndpoint::start(name, "pool", behaviour, Script::default()).await;
         first.source.list(endpoint.endpoint.clone());
         endpoints.push(endpoint);
     }
     second.ready().await;
     until(async || second.call(Call::get("/safe/").id("r-1")).await.status == 200).await;
     first.source.list(endpoints[0].leaving());
-    // Ten requests in a row that all go to the other one: it is known.
-    let mut to_other = 0;
+    // 30 requests in a row to the other endpoint show that the change has arrived.
+    let mut consecutive = 0;
     let mut number = 0;
-    while to_other < 30 {
+    while consecutive < 30 {
         number += 1;
         let id = format!("n-{number}");
         second.call(Call::get("/safe/").id(&id)).await;
-        to_other = if endpoints[1].runs_of(&id) == 1 {
-            to_other + 1
+        consecutive = if endpoints[1].run_count(&id) == 1 {
+            consecutive + 1
         } else {
             0
         };
         tokio::time::sleep(PAUSE).await;
     }
-    // The datagram told it, before the change of the list was pulled.
+    // The datagram arrives before the change of the list is pulled.
     let metrics = second.metrics().await;
-    let heard = "chalkrock_leaving_heard_from_peers_total{} 1";
-    assert_that!(metrics, contains_substring(heard));
+    let expected = "chalkrock_leaving_heard_from_peers_total{} 1";
+    assert_that!(metrics, contains_substring(expected));
 }
 
 #[tokio::test]
@@ -153,32 +151,31 @@
             .contains("chalkrock_endpoints_version{} 3")
     })
     .await;
-    // Six requests through the first host, three on each endpoint.
+    // The first host spreads its requests evenly.
     for i in 0..running {
         let address = first.running.front_address();
         let id = format!("r-{i}");
-        tokio::spawn(async move { Call::get("/safe/").id(&id).to(address).await });
+        tokio::spawn(async move { Call::get("/safe/").id(&id).exchange(address).await });
     }
-    let arrived = || endpoints.iter().map(|e| e.seen().len()).sum::<usize>();
+    let arrived = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     until(async || arrived() == running).await;
-    let on_each: Vec<usize> = endpoints.iter().map(|e| e.seen().len()).collect();
-    assert_that!(on_each, each(eq(&3)));
+    let by_endpoint: Vec<usize> = endpoints.iter().map(|e| e.requests().len()).collect();
+    assert_that!(by_endpoint, each(eq(&3)));
 }
 
-/// Two endpoints of a platform, each of which answers after so long.
+/// Starts two endpoints that answer after a delay.
 async fn two_endpoints(source: &TestSource, answer_ms: u64) -> Vec<ScriptedEndpoint> {
     let mut endpoints = Vec::new();
     for name in ["endpoint-0", "endpoint-1"] {
-        let usual = Behaviour::AnswerAfter(answer_ms);
-        let endpoint = ScriptedEndpoint::start(name, "pool", usual, Script::default()).await;
+        let behaviour = Behaviour::AnswerAfter(answer_ms);
+        let endpoint = ScriptedEndpoint::start(name, "pool", behaviour, Script::default()).await;
         source.list(endpoint.endpoint.clone());
         endpoints.push(endpoint);
     }
     endpoints
 }
 
-/// More hosts than those that all tell each other, in two zones of one
-/// platform.
+/// Starts hosts in two zones, too many for heartbeats between all of them.
 async fn large_fleet() -> Vec<TestGateway> {
     const HOSTS: usize = 16;
     let source = TestSource::default();
@@ -199,18 +196,18 @@
     for host in &hosts {
         until(async || host.metrics().await.contains("chalkrock_peers_heard{} 15")).await;
     }
-    // Zones speak by sums alone, once hosts of the other zone have fallen silent.
-    let of_sums = "chalkrock_hosts_known_by_sums{} 8";
+    // Zones exchange only aggregates once heartbeats between them have ended.
+    let aggregate_hosts = "chalkrock_hosts_known_by_sums{} 8";
     for host in &hosts {
-        until(async || host.metrics().await.contains(of_sums)).await;
+        until(async || host.metrics().await.contains(aggregate_hosts)).await;
     }
     let address = hosts[0].running.front_address();
-    tokio::spawn(async move { Call::get("/safe/").id("held").to(address).await });
-    let arrived = || endpoints.iter().map(|e| e.seen().len()).sum::<usize>();
+    tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
+    let arrived = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     until(async || arrived() == 1).await;
-    let busy = endpoints.iter().position(|e| e.seen().len() == 1);
-    // A host of the other zone knows of it, and prefers the idle endpoint.
-    let far = hosts[1].running.front_address();
+    let busy = endpoints.iter().position(|e| e.requests().len() == 1);
+    // A host of the remote zone prefers the idle endpoint.
+    let remote = hosts[1].running.front_address();
     until(async || {
         hosts[1]
             .metrics()
@@ -218,30 +215,30 @@
             .contains("chalkrock_fleet_requests{} 1")
     })
     .await;
-    tokio::spawn(async move { Call::get("/safe/").id("next").to(far).await });
+    tokio::spawn(async move { Call::get("/safe/").id("next").exchange(remote).await });
     until(async || arrived() == 2).await;
     let idle = &endpoints[1 - busy.expect("one is busy")];
-    assert_that!(idle.seen().len(), eq(1));
+    assert_that!(idle.requests().len(), eq(1));
 }
 
 #[tokio::test]
-async fn peers_of_a_large_fleet_all_learn_what_a_few_read() {
+async fn peers_of_a_large_fleet_learn_from_few_subscribers() {
     let hosts = large_fleet().await;
     for host in &hosts {
         until(async || host.metrics().await.contains("chalkrock_peers_heard{} 15")).await;
     }
-    let readers = async || {
-        let mut readers = 0;
+    let subscribers = async || {
+        let mut subscribers = 0;
         for host in &hosts {
-            readers += usize::from(
+            subscribers += usize::from(
                 host.metrics()
                     .await
                     .contains("chalkrock_reads_platform{} 1"),
             );
         }
-        readers
+        subscribers
     };
-    until(async || readers().await == 4).await;
+    until(async || subscribers().await == 4).await;
     let mut newer = rules(2);
     newer.routes.retain(|route| &*route.name != "safe");
     hosts[0].source.set_rules(newer);
@@ -250,7 +247,7 @@
     }
 }
 
-/// Hosts of one zone that is large enough to be summed up by relays.
+/// Number of hosts in a zone that is large enough for relays.
 const LARGE_ZONE: usize = 28;
 
 async fn large_zone() -> Vec<TestGateway> {
@@ -264,37 +261,36 @@
     hosts
 }
 
-/// All but the relays, of which each hears the hosts itself.
-const GO_BY_RELAYS: usize = LARGE_ZONE - 2;
+/// All hosts but the two relays.
+const NON_RELAYS: usize = LARGE_ZONE - 2;
 
 #[tokio::test]
 async fn peers_of_a_large_zone_report_to_relays_and_know_the_fleet() {
     let hosts = large_zone().await;
     let endpoints = two_endpoints(&hosts[0].source, 60_000).await;
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS).await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
     until(async || hosts_with(&hosts, "peers_heard", (LARGE_ZONE - 1) as f64).await == LARGE_ZONE)
         .await;
     let address = hosts[0].running.front_address();
-    tokio::spawn(async move { Call::get("/safe/").id("held").to(address).await });
+    tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
     until(async || hosts_with(&hosts, "fleet_requests", 1.0).await == LARGE_ZONE).await;
-    let busy = endpoints.iter().position(|e| e.seen().len() == 1);
-    let far = hosts[LARGE_ZONE - 1].running.front_address();
-    tokio::spawn(async move { Call::get("/safe/").id("next").to(far).await });
-    let arrived = || endpoints.iter().map(|e| e.seen().len()).sum::<usize>();
+    let busy = endpoints.iter().position(|e| e.requests().len() == 1);
+    let other = hosts[LARGE_ZONE - 1].running.front_address();
+    tokio::spawn(async move { Call::get("/safe/").id("next").exchange(other).await });
+    let arrived = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     until(async || arrived() == 2).await;
     let idle = &endpoints[1 - busy.expect("one is busy")];
-    assert_that!(idle.seen().len(), eq(1));
+    assert_that!(idle.requests().len(), eq(1));
 }
 
-/// Datagrams of one second: most hosts send a few, and relays fewer than all
-/// hosts of the zone would if each told all others.
+/// Most hosts of a zone with relays send few datagrams, and relays a bounded number.
 #[tokio::test]
 async fn peers_of_a_large_zone_send_few_datagrams() {
-    const ROUNDS_A_SECOND: f64 = 5.0;
+    const ROUNDS_PER_S: f64 = 5.0;
     let hosts = large_zone().await;
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS).await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let sent = async |host: &TestGateway| figure(host, "peer_datagrams_sent_total").await;
+    let sent = async |host: &TestGateway| metric(host, "peer_datagrams_sent_total").await;
     let mut before = Vec::new();
     for host in &hosts {
         before.push((sent(host).await, tokio::time::Instant::now()));
@@ -305,35 +301,27 @@
         rates.push((sent(host).await - before) / since.elapsed().as_secs_f64());
     }
     rates.sort_by(f64::total_cmp);
-    let if_all_tell_all = (LARGE_ZONE - 1) as f64 * ROUNDS_A_SECOND;
-    assert_that!(
-        rates[LARGE_ZONE / 2],
-        lt(if_all_tell_all / 5.0),
-        "{rates:?}"
-    );
-    assert_that!(
-        rates[LARGE_ZONE - 1],
-        lt(3.0 * if_all_tell_all),
-        "{rates:?}"
-    );
+    let full_mesh_rate = (LARGE_ZONE - 1) as f64 * ROUNDS_PER_S;
+    assert_that!(rates[LARGE_ZONE / 2], lt(full_mesh_rate / 5.0), "{rates:?}");
+    assert_that!(rates[LARGE_ZONE - 1], lt(3.0 * full_mesh_rate), "{rates:?}");
 }
 
-/// A host that starts, and whose settings name only a host of another zone,
-/// finds its own zone's hosts through it, though its platform answers nothing.
+/// A host whose only seed is in a remote zone finds its local peers, even while the store
+/// is unavailable.
 #[tokio::test]
-async fn peers_of_a_large_zone_take_in_a_host_that_knows_one_of_another_zone() {
+async fn peers_of_a_large_zone_accept_a_host_with_a_remote_seed() {
     let mut hosts = large_zone().await;
     let source = hosts[0].source.clone();
     hosts.push(TestGateway::in_zone("zone-b", source, "far", Vec::new()).await);
-    let all = hosts.len();
-    until(async || hosts_with(&hosts, "peers_heard", (all - 1) as f64).await == all).await;
-    let far = hosts[LARGE_ZONE].running.peer_address();
-    let cut_off = TestSource::default();
-    cut_off.set_down(true);
-    let seeds = vec![far.expect("it hears others")];
-    let newcomer = TestGateway::in_zone("zone-a", cut_off, "newcomer", seeds).await;
-    until(async || figure(&newcomer, "goes_by_relay_sums").await == 1.0).await;
-    until(async || figure(&newcomer, "peers_heard").await == all as f64).await;
+    let total = hosts.len();
+    until(async || hosts_with(&hosts, "peers_heard", (total - 1) as f64).await == total).await;
+    let remote = hosts[LARGE_ZONE].running.peer_address();
+    let without_store = TestSource::default();
+    without_store.set_unavailable(true);
+    let seeds = vec![remote.expect("a peer address")];
+    let newcomer = TestGateway::in_zone("zone-a", without_store, "newcomer", seeds).await;
+    until(async || metric(&newcomer, "goes_by_relay_sums").await == 1.0).await;
+    until(async || metric(&newcomer, "peers_heard").await == total as f64).await;
 }
 
 #[tokio::test]
@@ -342,10 +330,10 @@
     for host in &hosts {
         host.ready().await;
     }
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= GO_BY_RELAYS).await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= NON_RELAYS).await;
     let mut relays = Vec::new();
     for i in (0..hosts.len()).rev() {
-        if figure(&hosts[i], "goes_by_relay_sums").await == 0.0 {
+        if metric(&hosts[i], "goes_by_relay_sums").await == 0.0 {
             relays.push(hosts.remove(i));
         }
     }
@@ -353,18 +341,19 @@
         relay.stop.stop();
         relay.running.ended().await;
     }
-    let left = hosts.len();
-    until(async || hosts_with(&hosts, "peers_heard", (left - 1) as f64).await == left).await;
-    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= left - 2).await;
+    let remaining = hosts.len();
+    until(async || hosts_with(&hosts, "peers_heard", (remaining - 1) as f64).await == remaining)
+        .await;
+    until(async || hosts_with(&hosts, "goes_by_relay_sums", 1.0).await >= remaining - 2).await;
     let mut newer = rules(2);
     newer.routes.retain(|route| &*route.name != "safe");
     hosts[0].source.set_rules(newer);
-    until(async || hosts_with(&hosts, "rules_version", 2.0).await == left).await;
+    until(async || hosts_with(&hosts, "rules_version", 2.0).await == remaining).await;
 }
 
-/// What is not from a host of the fleet changes nothing and harms nothing.
+/// Random datagrams must not stop a host or change its state.
 #[tokio::test]
-async fn peers_bear_any_datagrams() {
+async fn peers_tolerate_random_datagrams() {
     const SEED: u64 = 23;
     let (first, second) = two_hosts().await;
     let mut random = rand::rngs::StdRng::seed_from_u64(SEED);
@@ -375,11 +364,14 @@
     for length in 0..400 {
         let mut bytes = vec![0_u8; length];
         random.fill(&mut bytes[..]);
-        // The first byte tells which datagram it is said to be.
+        // The first byte is the kind of the datagram.
         if let Some(kind) = bytes.first_mut() {
             *kind %= 7;
         }
-        socket.send_to(&bytes, address).await.expect("it is sent");
+        socket
+            .send_to(&bytes, address)
+            .await
+            .expect("a sent datagram");
     }
     let endpoint =
         ScriptedEndpoint::start("endpoint-0", "pool", Behaviour::Answer, Script::default()).await;
@@ -389,31 +381,32 @@
     until(async || second.call(call.clone()).await.status == 200).await;
 }
 
-/// Each heartbeat named all endpoints that leave: with hundreds that leave at once it was
-/// larger than what a link carries in one piece, and lost with any part of it.
+/// A heartbeat that names many leaving endpoints must not need IP fragments, since the
+/// loss of one loses it all.
 #[tokio::test]
 async fn peers_name_many_leaving_endpoints_in_datagrams_that_fit_a_packet() {
     const LEAVING: usize = 300;
-    const PACKET_BYTES: f64 = 1_200.0;
+    const MAX_PACKET_BYTES: f64 = 1_200.0;
     let source = TestSource::default();
     source.set_rules(rules(1));
-    let some = ScriptedEndpoint::start("some", "pool", Behaviour::Answer, Script::default()).await;
-    source.list(some.endpoint.clone());
+    let template =
+        ScriptedEndpoint::start("some", "pool", Behaviour::Answer, Script::default()).await;
+    source.list(template.endpoint.clone());
     for i in 0..LEAVING {
         source.list(Endpoint {
             name: format!("leaving-{i}").as_str().into(),
             state: HostState::Leaving,
-            ..some.endpoint.clone()
+            ..template.endpoint.clone()
         });
     }
-    let first = TestGateway::with(source, "host-1", Vec::new()).await;
+    let first = TestGateway::start(source, "host-1", Vec::new()).await;
     first.ready().await;
-    let second = TestGateway::cut_off("host-2", vec![first.peer_address()]).await;
+    let second = TestGateway::without_store("host-2", vec![first.peer_address()]).await;
     second.ready().await;
-    until(async || figure(&second, "peers_heard").await == 1.0).await;
+    until(async || metric(&second, "peers_heard").await == 1.0).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     for host in [&first, &second] {
-        let largest = figure(host, "peer_datagram_largest_bytes").await;
-        assert_that!(largest, all!(gt(0.0), le(PACKET_BYTES)));
+        let largest = metric(host, "peer_datagram_largest_bytes").await;
+        assert_that!(largest, all!(gt(0.0), le(MAX_PACKET_BYTES)));
     }
 }
--- a/crates/gateway/tests/gateway/stops.rs
+++ b/crates/gateway/tests/gateway/stops.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off nothing that runs.
+//! A planned stop must not interrupt running requests.
 
 use crate::support::{Behaviour, Call, TestGateway, receive};
 use googletest::prelude::*;
@@ -6,11 +6,12 @@
 use tokio::net::TcpStream;
 
 #[tokio::test]
-async fn stop_lets_what_runs_end() {
-    let gateway = TestGateway::before(1, Behaviour::AnswerAfter(1_200)).await;
+async fn stop_lets_running_requests_complete() {
+    let gateway = TestGateway::with_endpoints(1, Behaviour::AnswerAfter(1_200)).await;
     let address = gateway.running.front_address();
-    let running = tokio::spawn(async move { Call::get("/safe/").id("r-1").to(address).await });
-    while gateway.runs_of("r-1") == 0 {
+    let running =
+        tokio::spawn(async move { Call::get("/safe/").id("r-1").exchange(address).await });
+    while gateway.run_count("r-1") == 0 {
         tokio::time::sleep(std::time::Duration::from_millis(1)).await;
     }
     gateway.stop.stop();
@@ -20,8 +21,8 @@
 }
 
 #[tokio::test]
-async fn stop_is_told_at_once_to_the_entry_and_to_callers() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+async fn stop_fails_readiness_and_closes_connections_at_once() {
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     gateway.stop.stop();
     while gateway.ready_status().await != 503 {
         tokio::task::yield_now().await;
@@ -32,12 +33,12 @@
 }
 
 #[tokio::test]
-async fn stop_refuses_late_requests_and_sends_callers_elsewhere() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
-    gateway.endpoints[0].usually(Behaviour::Silent);
+async fn stop_rejects_late_requests_with_a_retry_delay() {
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
+    gateway.endpoints[0].set_behaviour(Behaviour::Silent);
     let address = gateway.running.front_address();
-    // Something runs on, so that the host does not end before it refuses.
-    let _held = tokio::spawn(async move { Call::get("/safe/").id("held").to(address).await });
+    // A running request keeps the host from ending before it rejects.
+    let _held = tokio::spawn(async move { Call::get("/safe/").id("held").exchange(address).await });
     gateway.stop.stop();
     loop {
         let call = Call::get("/safe/").id("r-1").header("deadline", "50");
@@ -51,15 +52,15 @@
 }
 
 #[tokio::test]
-async fn stop_closes_connections_that_rest() {
-    let gateway = TestGateway::before(1, Behaviour::Answer).await;
+async fn stop_closes_idle_connections() {
+    let gateway = TestGateway::with_endpoints(1, Behaviour::Answer).await;
     let address = gateway.running.front_address();
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let call = Call::get("/safe/").id("r-1").bytes();
     stream.write_all(&call).await.expect("a request");
     assert_that!(receive(&mut stream).await.status, eq(200));
     gateway.stop.stop();
-    // Nothing more comes, and the connection ends.
+    // The host closes the connection without another answer.
     assert_that!(receive(&mut stream).await.status, eq(0));
     gateway.running.ended().await;
 }
