--- a/crates/agent/src/claims.rs
+++ b/crates/agent/src/claims.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use chalkrock_platform::{BatchAnswer, Expect, Platform, PlatformError, Row, RowVersion, RowWrite};
+use chalkrock_platform::{Expect, Platform, PlatformError, Row, RowVersion, RowWrite, WriteResult};
 use chalkrock_process::Metrics;
-use chalkrock_proto::{ClaimAnswer, ClaimExpect, ClaimWrite};
+use chalkrock_proto::{ClaimExpect, ClaimResult, ClaimWrite};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior};
 
@@ -27,7 +27,7 @@
 /// A claim that waits for its batch.
 struct Waiting {
     write: ClaimWrite,
-    answer: oneshot::Sender<ClaimAnswer>,
+    answer: oneshot::Sender<ClaimResult>,
 }
 
 /// Takes claims in.
@@ -43,12 +43,12 @@
     }
 
     /// Writes one claim with others.
-    pub(crate) async fn write(&self, write: ClaimWrite) -> ClaimAnswer {
+    pub(crate) async fn write(&self, write: ClaimWrite) -> ClaimResult {
         let (answer, answered) = oneshot::channel();
         if self.0.try_send(Waiting { write, answer }).is_err() {
-            return ClaimAnswer::Unavailable;
+            return ClaimResult::Unavailable;
         }
-        answered.await.unwrap_or(ClaimAnswer::Unsettled)
+        answered.await.unwrap_or(ClaimResult::Unsettled)
     }
 }
 
@@ -93,7 +93,7 @@
         Err(error) => {
             log::debug!(target: PART, "Batch of {} not written: {error}.", batch.len());
             for waiting in batch {
-                let _router_gone = waiting.answer.send(ClaimAnswer::Unavailable);
+                let _router_gone = waiting.answer.send(ClaimResult::Unavailable);
             }
         }
     }
@@ -109,7 +109,7 @@
 
 /// Settles one write whose answer was lost. It is written again under the
 /// same condition: if the first write took effect, this one meets its row.
-async fn settle<P: Platform>(platform: &P, write: &ClaimWrite) -> ClaimAnswer {
+async fn settle<P: Platform>(platform: &P, write: &ClaimWrite) -> ClaimResult {
     let give_up_at = Instant::now() + SETTLE_FOR;
     while Instant::now() < give_up_at {
         let again = row_write(write);
@@ -117,14 +117,14 @@
             .write_row(&again.key, &again.value, again.expect)
             .await
         {
-            Ok(version) => return ClaimAnswer::Written { version: version.0 },
+            Ok(version) => return ClaimResult::Written { version: version.0 },
             Err(PlatformError::Conflict(Some(row))) if row.value == write.value => {
-                return ClaimAnswer::Written {
+                return ClaimResult::Written {
                     version: row.version.0,
                 };
             }
             Err(PlatformError::Conflict(row)) => {
-                return claim_answer(BatchAnswer::Conflict(row));
+                return claim_answer(WriteResult::Conflict(row));
             }
             Err(error) => log::debug!(target: PART, "Not settled yet: {error}."),
         }
@@ -135,18 +135,18 @@
         }
         tokio::time::sleep(SETTLE_PAUSE).await;
     }
-    ClaimAnswer::Unsettled
+    ClaimResult::Unsettled
 }
 
 /// What a row that was read back says of an unanswered write: it took effect,
 /// or another row stands where it would have, or nothing yet.
-fn read_answer(write: &ClaimWrite, row: Row) -> Option<ClaimAnswer> {
+fn read_answer(write: &ClaimWrite, row: Row) -> Option<ClaimResult> {
     let version = row.version.0;
     if row.value == write.value {
-        return Some(ClaimAnswer::Written { version });
+        return Some(ClaimResult::Written { version });
     }
     let is_untouched = write.expect == ClaimExpect::Version(version);
-    (!is_untouched).then_some(ClaimAnswer::Found {
+    (!is_untouched).then_some(ClaimResult::Found {
         version,
         value: row.value,
     })
@@ -164,13 +164,13 @@
     }
 }
 
-fn claim_answer(answer: BatchAnswer) -> ClaimAnswer {
+fn claim_answer(answer: WriteResult) -> ClaimResult {
     match answer {
-        BatchAnswer::Written(version) => ClaimAnswer::Written { version: version.0 },
-        BatchAnswer::Conflict(Some(row)) => ClaimAnswer::Found {
+        WriteResult::Written(version) => ClaimResult::Written { version: version.0 },
+        WriteResult::Conflict(Some(row)) => ClaimResult::Found {
             version: row.version.0,
             value: row.value,
         },
-        BatchAnswer::Conflict(None) => ClaimAnswer::Gone,
+        WriteResult::Conflict(None) => ClaimResult::Gone,
     }
 }
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -10,7 +10,7 @@
 
 use chalkrock_core::{Host, HostId, HostState};
 use chalkrock_proto::{
-    AgentApiClient, Hello, LeavingBody, News, PROTOCOL_VERSION, Purpose, Traffic, connect,
+    AgentApiClient, Hello, LeavingEndpoint, PROTOCOL_VERSION, PeerUpdate, Purpose, Traffic, connect,
 };
 use kameo::actor::ActorRef;
 use rand::RngExt;
@@ -40,16 +40,16 @@
     pub(crate) traffic: Arc<Traffic>,
 }
 
-/// News for a peer, from a view and the slots.
-pub(crate) fn news_of(view: &AgentView, slots: &Slots) -> News {
+/// PeerUpdate for a peer, from a view and the slots.
+pub(crate) fn news_of(view: &AgentView, slots: &Slots) -> PeerUpdate {
     let endpoints = view.hosts.iter().flat_map(|hosts| &hosts.list.endpoints);
     let leaving = endpoints
         .filter(|e| e.state == HostState::Leaving)
-        .map(|e| LeavingBody {
+        .map(|e| LeavingEndpoint {
             endpoint: e.name.clone(),
             incarnation: e.incarnation,
         });
-    News {
+    PeerUpdate {
         config_version: view.config_version(),
         leaving: leaving.collect(),
         loads: slots.loads(),
@@ -57,7 +57,7 @@
 }
 
 /// Takes a peer's news over, but for its configuration.
-pub(crate) async fn take_news(news: &News, slots: &Slots, keeper: &ActorRef<ViewKeeper>) {
+pub(crate) async fn take_news(news: &PeerUpdate, slots: &Slots, keeper: &ActorRef<ViewKeeper>) {
     slots.merge(&news.loads);
     for leaving in &news.leaving {
         let seen = SawLeaving {
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -21,6 +21,6 @@
         agent.address(),
         agent.admin_address()
     );
-    stop.asked().await;
+    stop.requested().await;
     Ok(())
 }
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -6,8 +6,8 @@
 
 use chalkrock_process::Metrics;
 use chalkrock_proto::{
-    AgentApi, ByteCount, ClaimAnswer, ClaimWrite, ConfigBody, Hello, KnownView, News,
-    PROTOCOL_VERSION, PeerError, Purpose, SlotAnswer, SlotAsk, SlotCount, Traffic, ViewUpdate,
+    AgentApi, ByteCounter, ClaimResult, ClaimWrite, ConfigBody, Hello, KnownView, PROTOCOL_VERSION,
+    PeerError, PeerUpdate, Purpose, SlotCount, SlotRequest, SlotResponse, Traffic, ViewUpdate,
     transport,
 };
 use futures::StreamExt;
@@ -45,7 +45,7 @@
     shared: Arc<Shared>,
     peer: SocketAddr,
     hello: Arc<Mutex<Option<Hello>>>,
-    count: Arc<ByteCount>,
+    count: Arc<ByteCounter>,
 }
 
 /// Accepts connections until dropped.
@@ -67,7 +67,7 @@
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(target: PART, "No nodelay for {peer}: {error}.");
     }
-    let count = Arc::new(ByteCount::default());
+    let count = Arc::new(ByteCounter::default());
     let connection = Connection {
         shared,
         peer,
@@ -142,7 +142,7 @@
         Ok(news.unwrap_or_default())
     }
 
-    async fn ask_slot(self, _: Context, ask: SlotAsk) -> Result<SlotAnswer, PeerError> {
+    async fn ask_slot(self, _: Context, ask: SlotRequest) -> Result<SlotResponse, PeerError> {
         let hello = self.check(Purpose::Slots)?;
         let answer = self.shared.slots.ask(ask, &hello.host).await;
         self.shared
@@ -163,14 +163,14 @@
         Ok(())
     }
 
-    async fn exchange(self, _: Context, news: News) -> Result<News, PeerError> {
+    async fn exchange(self, _: Context, news: PeerUpdate) -> Result<PeerUpdate, PeerError> {
         self.check(Purpose::Exchange)?;
         take_news(&news, &self.shared.slots, &self.shared.keeper).await;
         let view = self.shared.view.borrow().clone();
         Ok(news_of(&view, &self.shared.slots))
     }
 
-    async fn write_claim(self, _: Context, write: ClaimWrite) -> Result<ClaimAnswer, PeerError> {
+    async fn write_claim(self, _: Context, write: ClaimWrite) -> Result<ClaimResult, PeerError> {
         self.check(Purpose::Claims)?;
         Ok(self.shared.claims.write(write).await)
     }
@@ -181,12 +181,12 @@
     }
 }
 
-fn slot_label(answer: SlotAnswer) -> &'static str {
+fn slot_label(answer: SlotResponse) -> &'static str {
     match answer {
-        SlotAnswer::Granted { .. } => "answer=\"granted\"",
-        SlotAnswer::AtBound { .. } => "answer=\"at-bound\"",
-        SlotAnswer::OverShare { .. } => "answer=\"over-share\"",
-        SlotAnswer::Leaving => "answer=\"leaving\"",
-        SlotAnswer::NotOwner => "answer=\"not-owner\"",
+        SlotResponse::Granted { .. } => "answer=\"granted\"",
+        SlotResponse::AtBound { .. } => "answer=\"at-bound\"",
+        SlotResponse::OverShare { .. } => "answer=\"over-share\"",
+        SlotResponse::Leaving => "answer=\"leaving\"",
+        SlotResponse::NotOwner => "answer=\"not-owner\"",
     }
 }
--- a/crates/agent/src/slots.rs
+++ b/crates/agent/src/slots.rs
@@ -10,7 +10,7 @@
     Organisation, OrganisationKey, OwnedEngine, Owner, Pool, PoolId, PoolKind, SlotDecision,
     SlotRules, Weights, owner_index,
 };
-use chalkrock_proto::{LoadBody, SlotAnswer, SlotAsk, SlotCount};
+use chalkrock_proto::{HostPoolLoad, SlotCount, SlotRequest, SlotResponse};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -171,12 +171,12 @@
     }
 
     /// Answers an ask; holds it for a while if the engine is at its bound.
-    pub(crate) async fn ask(&self, ask: SlotAsk, holder: &HostId) -> SlotAnswer {
+    pub(crate) async fn ask(&self, ask: SlotRequest, holder: &HostId) -> SlotResponse {
         let holder = holder_of(holder, ask.organisation);
         let give_up_at = Instant::now() + Duration::from_millis(ask.wait_ms.into());
         loop {
             let (answer, freed) = self.ask_now(ask, holder);
-            let SlotAnswer::AtBound { .. } = answer else {
+            let SlotResponse::AtBound { .. } = answer else {
                 return answer;
             };
             let Some(freed) = freed else {
@@ -191,28 +191,32 @@
         }
     }
 
-    fn ask_now(&self, ask: SlotAsk, holder: Holder<HostKey>) -> (SlotAnswer, Option<Arc<Notify>>) {
+    fn ask_now(
+        &self,
+        ask: SlotRequest,
+        holder: Holder<HostKey>,
+    ) -> (SlotResponse, Option<Arc<Notify>>) {
         let engine = ask.engine;
         let now_ms = self.now_ms();
         let mut state = self.state();
         let Some(entry) = state.engines.get(&engine).cloned() else {
-            return (SlotAnswer::NotOwner, None);
+            return (SlotResponse::NotOwner, None);
         };
         if entry.leaving {
-            return (SlotAnswer::Leaving, None);
+            return (SlotResponse::Leaving, None);
         }
         let Some(pool) = state.pools.get_mut(&entry.pool) else {
-            return (SlotAnswer::NotOwner, None);
+            return (SlotResponse::NotOwner, None);
         };
         if ask.sampled_mean_thousandths > 0 {
             pool.owner
                 .take_sample(f64::from(ask.sampled_mean_thousandths) / 1_000.0);
         }
         let answer = match pool.owner.ask(&engine, holder, now_ms) {
-            Some(SlotDecision::Granted { load }) => SlotAnswer::Granted { in_progress: load },
-            Some(SlotDecision::AtBound { load }) => SlotAnswer::AtBound { in_progress: load },
-            Some(SlotDecision::OverShare { load }) => SlotAnswer::OverShare { in_progress: load },
-            Some(SlotDecision::Settling) | None => SlotAnswer::NotOwner,
+            Some(SlotDecision::Granted { load }) => SlotResponse::Granted { in_progress: load },
+            Some(SlotDecision::AtBound { load }) => SlotResponse::AtBound { in_progress: load },
+            Some(SlotDecision::OverShare { load }) => SlotResponse::OverShare { in_progress: load },
+            Some(SlotDecision::Settling) | None => SlotResponse::NotOwner,
         };
         (answer, Some(entry.freed))
     }
@@ -273,13 +277,13 @@
     }
 
     /// The freshest totals of all pools, for a round of the exchange.
-    pub(crate) fn loads(&self) -> Vec<LoadBody> {
+    pub(crate) fn loads(&self) -> Vec<HostPoolLoad> {
         let now_ms = self.now_ms();
         let mut state = self.state();
         let mut loads = Vec::new();
         for pool in state.pools.values_mut() {
             let entries = pool.owner.table(now_ms).freshest(now_ms, ENTRIES_MAX);
-            loads.extend(entries.into_iter().map(|entry| LoadBody {
+            loads.extend(entries.into_iter().map(|entry| HostPoolLoad {
                 pool: pool.short,
                 host: entry.host,
                 in_progress: entry.load.in_progress,
@@ -291,7 +295,7 @@
     }
 
     /// Merges totals that a peer sent.
-    pub(crate) fn merge(&self, loads: &[LoadBody]) {
+    pub(crate) fn merge(&self, loads: &[HostPoolLoad]) {
         let now_ms = self.now_ms();
         for pool in self.state().pools.values_mut() {
             let of_pool = loads.iter().filter(|load| load.pool == pool.short);
--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -14,7 +14,7 @@
 
 /// The configuration in force in the platform.
 #[derive(Clone, Debug, Serialize)]
-pub struct Current {
+pub struct VersionedConfig {
     /// Its version and how it came.
     pub head: ConfigHead,
     /// The document.
@@ -74,12 +74,12 @@
     /// # Errors
     ///
     /// If the platform fails.
-    pub async fn current(&self) -> Result<Option<Current>, CtlError> {
+    pub async fn current(&self) -> Result<Option<VersionedConfig>, CtlError> {
         let Some(head) = self.store().read_head().await? else {
             return Ok(None);
         };
         let config = self.store().read_config(&head).await?;
-        Ok(Some(Current { head, config }))
+        Ok(Some(VersionedConfig { head, config }))
     }
 
     /// An earlier version, with what made it.
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// If there is no such version, or the platform fails.
-    pub async fn version(&self, version: ConfigVersion) -> Result<Current, CtlError> {
+    pub async fn version(&self, version: ConfigVersion) -> Result<VersionedConfig, CtlError> {
         let head = self
             .history()
             .await?
@@ -95,7 +95,7 @@
             .find(|head| head.version == version);
         let head = head.ok_or(CtlError::NoVersion(version))?;
         let config = self.store().read_config(&head).await?;
-        Ok(Current { head, config })
+        Ok(VersionedConfig { head, config })
     }
 
     /// The versions that the head remembers, newest first.
@@ -177,7 +177,7 @@
         reason: String,
     ) -> Result<Applied, CtlError> {
         let old = self.version(to).await?;
-        let current = self.current().await?.ok_or(CtlError::Empty)?;
+        let current = self.current().await?.ok_or(CtlError::NoConfig)?;
         let difference = difference(&current.config, &old.config, ("in force", "rolled back"));
         let change = change(author, reason);
         let version = self
@@ -208,7 +208,7 @@
     async fn conflict(&self, expected: ConfigVersion, yours: &FleetConfig) -> CtlError {
         let current = match self.current().await {
             Ok(Some(current)) => current,
-            Ok(None) => return CtlError::Empty,
+            Ok(None) => return CtlError::NoConfig,
             Err(error) => return error,
         };
         let base = match self.version(expected).await {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -44,10 +44,10 @@
     NoVersion(ConfigVersion),
     /// No configuration was submitted yet.
     #[error("there is no configuration yet; submit one with `chalkrockctl apply FILE`")]
-    Empty,
+    NoConfig,
     /// No line speaks of what was asked for.
     #[error("no line speaks of {0}; are the logs of the hosts that saw it among the files?")]
-    NoLines(String),
+    NoMatchingLines(String),
     /// A router did not answer.
     #[error("router {url}: {reason}")]
     Router {
@@ -77,7 +77,7 @@
         match self {
             CtlError::File(_) | CtlError::Invalid { .. } => 2,
             CtlError::Conflict { .. } => 3,
-            CtlError::Submit(SubmitError::Unsettled(_)) => 4,
+            CtlError::Submit(SubmitError::OutcomeUnknown(_)) => 4,
             _ => 1,
         }
     }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -25,7 +25,7 @@
 mod story;
 
 pub use command::command;
-pub use config::{Applied, Current, Submission};
+pub use config::{Applied, Submission, VersionedConfig};
 pub use error::CtlError;
 pub use fleet::Session;
 pub use output::{Output, print};
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -95,10 +95,13 @@
     Ok(())
 }
 
-async fn get(session: &Session, matches: &ArgMatches) -> Result<chalkrockctl::Current, CtlError> {
+async fn get(
+    session: &Session,
+    matches: &ArgMatches,
+) -> Result<chalkrockctl::VersionedConfig, CtlError> {
     match version(matches, "version") {
         Some(version) => session.version(version).await,
-        None => session.current().await?.ok_or(CtlError::Empty),
+        None => session.current().await?.ok_or(CtlError::NoConfig),
     }
 }
 
@@ -116,7 +119,7 @@
 
 fn some_lines(story: Story, asked: String) -> eyre::Result<Story> {
     if story.is_empty() {
-        return Err(CtlError::NoLines(asked).into());
+        return Err(CtlError::NoMatchingLines(asked).into());
     }
     Ok(story)
 }
--- a/crates/e2e/tests/peers.rs
+++ b/crates/e2e/tests/peers.rs
@@ -5,7 +5,7 @@
 use chalkrock_core::key_digest;
 use chalkrock_e2e::{Cluster, ClusterSize};
 use chalkrock_proto::{
-    ByteCount, ConnectError, Hello, KnownView, PROTOCOL_VERSION, PeerError, Purpose, connect,
+    ByteCounter, ConnectError, Hello, KnownView, PROTOCOL_VERSION, PeerError, Purpose, connect,
 };
 use googletest::prelude::*;
 use tokio::io::AsyncWriteExt;
@@ -61,7 +61,7 @@
         ),
     ];
     for (why, hello, expected) in cases {
-        match connect(address, hello, Arc::new(ByteCount::default())).await {
+        match connect(address, hello, Arc::new(ByteCounter::default())).await {
             Err(ConnectError::Refused { source, .. }) => assert_that!(source, eq(expected)),
             other => panic!("{why}: not refused: {:?}", other.err()),
         }
@@ -78,7 +78,7 @@
         ..hello()
     };
     let address = cluster.hosts[0].agent.address(0);
-    let client = connect(address, hello, Arc::new(ByteCount::default())).await?;
+    let client = connect(address, hello, Arc::new(ByteCounter::default())).await?;
     let answer = client
         .watch_view(tarpc::context::current(), KnownView::default())
         .await?;
--- a/crates/gateway/src/peers/pull.rs
+++ b/crates/gateway/src/peers/pull.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use chalkrock_core::{BuildVersion, PoolId};
-use chalkrock_proto::{ByteCount, transport};
+use chalkrock_proto::{ByteCounter, transport};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use rand::RngExt;
@@ -217,7 +217,7 @@
     first_byte_timeout: Duration,
 ) -> Option<(MissingState, SupplementaryState)> {
     let started_at = Instant::now();
-    let count = Arc::new(ByteCount::default());
+    let count = Arc::new(ByteCounter::default());
     let idle_limits = IdleLimits {
         first_byte: first_byte_timeout,
         between_bytes: ms(shared.config.follow.stall_ms),
@@ -256,7 +256,7 @@
 async fn request_missing(
     address: SocketAddr,
     known: KnownVersions,
-    count: Arc<ByteCount>,
+    count: Arc<ByteCounter>,
 ) -> Option<(MissingState, SupplementaryState)> {
     let client = connect(address, count.clone()).await?;
     if let Ok(besides) = client.besides(tarpc::context::current()).await {
@@ -274,7 +274,7 @@
     Some((missing, SupplementaryState::default()))
 }
 
-async fn connect(address: SocketAddr, count: Arc<ByteCount>) -> Option<PeerApiClient> {
+async fn connect(address: SocketAddr, count: Arc<ByteCounter>) -> Option<PeerApiClient> {
     let stream = TcpStream::connect(address).await.ok()?;
     let framed = transport(stream, count);
     Some(PeerApiClient::new(tarpc::client::Config::default(), framed).spawn())
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use chalkrock_proto::{ByteCount, transport};
+use chalkrock_proto::{ByteCounter, transport};
 use chalkrock_routing::StoreVersion;
 use futures::{Stream, StreamExt};
 use tarpc::server::{BaseChannel, Channel};
@@ -48,7 +48,7 @@
 /// Answers one connection until it closes or stalls, so that an unreachable host does not
 /// hold a transfer slot.
 async fn serve_connection(server: PeerServer, stream: TcpStream) {
-    let count = Arc::new(ByteCount::default());
+    let count = Arc::new(ByteCounter::default());
     let between_bytes = ms(server.shared.config.follow.stall_ms);
     let idle_limits = IdleLimits {
         first_byte: between_bytes,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -119,7 +119,7 @@
     tasks.spawn(measure_lag(shared.clone()));
     tasks.spawn(apply_reloads(shared.clone(), reloads));
     let ended = tokio::spawn(async move {
-        stop.asked().await;
+        stop.requested().await;
         run_stop(&shared).await;
         drop(tasks);
     });
--- a/crates/platform/src/config_store.rs
+++ b/crates/platform/src/config_store.rs
@@ -61,10 +61,10 @@
     Platform(#[source] PlatformError),
     /// The platform failed, and reading back did not settle it.
     #[error("the change may have been accepted, read it back later: {0}")]
-    Unsettled(#[source] PlatformError),
+    OutcomeUnknown(#[source] PlatformError),
     /// The head row can't be read.
     #[error("the head row can't be read: {0}")]
-    Garbage(String),
+    Malformed(String),
 }
 
 /// Who changes the configuration, and why.
@@ -110,7 +110,7 @@
     pub async fn read_body(&self, head: &ConfigHead) -> Result<String, PlatformError> {
         let key = head.object_key();
         let body = self.platform.read_object(&key).await?;
-        body.ok_or_else(|| PlatformError::Garbage(format!("object {key} is missing")))
+        body.ok_or_else(|| PlatformError::Malformed(format!("object {key} is missing")))
     }
 
     /// Reads and parses the document of a head.
@@ -120,7 +120,7 @@
     /// If the platform fails, or the document is missing or can't be read.
     pub async fn read_config(&self, head: &ConfigHead) -> Result<FleetConfig, PlatformError> {
         let body = self.read_body(head).await?;
-        serde_json::from_str(&body).map_err(|e| PlatformError::Garbage(e.to_string()))
+        serde_json::from_str(&body).map_err(|e| PlatformError::Malformed(e.to_string()))
     }
 
     /// The heads that were in force, newest first, as far as the newest one
@@ -138,10 +138,10 @@
             let version = ConfigVersion(newest.version.0 - 1 - i as u64);
             let key = record_key(version, change);
             let record = self.platform.read_object(&key).await?;
-            let record =
-                record.ok_or_else(|| PlatformError::Garbage(format!("object {key} is missing")))?;
+            let record = record
+                .ok_or_else(|| PlatformError::Malformed(format!("object {key} is missing")))?;
             let head = serde_json::from_str(&record);
-            history.push(head.map_err(|e| PlatformError::Garbage(e.to_string()))?);
+            history.push(head.map_err(|e| PlatformError::Malformed(e.to_string()))?);
         }
         Ok(history)
     }
@@ -176,13 +176,13 @@
         }
         let head = next_head(current, expect, change);
         let body =
-            serde_json::to_string(config).map_err(|e| SubmitError::Garbage(e.to_string()))?;
+            serde_json::to_string(config).map_err(|e| SubmitError::Malformed(e.to_string()))?;
         let record = ConfigHead {
             earlier: Vec::new(),
             ..head.clone()
         };
         let record = serde_json::to_string(&record);
-        let record = record.map_err(|e| SubmitError::Garbage(e.to_string()))?;
+        let record = record.map_err(|e| SubmitError::Malformed(e.to_string()))?;
         let record_key = record_key(head.version, &head.change);
         for (key, text) in [(head.object_key(), body), (record_key, record)] {
             self.write_object(&key, text)
@@ -212,7 +212,7 @@
         from: Option<RowVersion>,
     ) -> Result<ConfigHead, SubmitError> {
         let value =
-            serde_json::to_string(&head).map_err(|e| SubmitError::Garbage(e.to_string()))?;
+            serde_json::to_string(&head).map_err(|e| SubmitError::Malformed(e.to_string()))?;
         let expect = from.map_or(Expect::Absent, Expect::Version);
         match self.platform.write_row(HEAD_KEY, &value, expect).await {
             Ok(_) => Ok(head),
@@ -258,7 +258,7 @@
                 return self.settle(head, row);
             }
             let value = serde_json::to_string(&head);
-            let value = value.map_err(|e| SubmitError::Garbage(e.to_string()))?;
+            let value = value.map_err(|e| SubmitError::Malformed(e.to_string()))?;
             let expect = row.map_or(Expect::Absent, |row| Expect::Version(row.version));
             match self.platform.write_row(HEAD_KEY, &value, expect).await {
                 Ok(_) => return Ok(head),
@@ -266,7 +266,7 @@
                 Err(e) => error = e,
             }
         }
-        Err(SubmitError::Unsettled(error))
+        Err(SubmitError::OutcomeUnknown(error))
     }
 }
 
@@ -276,7 +276,7 @@
 }
 
 fn parse_head(row: &Row) -> Result<ConfigHead, PlatformError> {
-    serde_json::from_str(&row.value).map_err(|e| PlatformError::Garbage(e.to_string()))
+    serde_json::from_str(&row.value).map_err(|e| PlatformError::Malformed(e.to_string()))
 }
 
 fn next_head(current: Option<ConfigHead>, expect: ConfigVersion, change: Change) -> ConfigHead {
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -21,10 +21,10 @@
     Throttled,
     /// The platform's answer can't be read.
     #[error("platform sent an answer that can't be read: {0}")]
-    Garbage(String),
+    Malformed(String),
     /// The platform's address is not a URL.
     #[error("platform address is not a URL: {0}")]
-    BadAddress(String),
+    InvalidUrl(String),
 }
 
 impl PlatformError {
@@ -32,7 +32,7 @@
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(
             self,
-            PlatformError::Unanswered(_) | PlatformError::Garbage(_)
+            PlatformError::Unanswered(_) | PlatformError::Malformed(_)
         )
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::error::PlatformError;
-use crate::table::{BatchAnswer, Expect, Platform, Row, RowVersion, RowWrite, TaggedHosts};
+use crate::table::{Expect, Platform, Row, RowVersion, RowWrite, TaggedHosts, WriteResult};
 
 /// How long one call may take before its answer counts as lost.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -26,7 +26,7 @@
     ///
     /// If the address is not a URL.
     pub fn new(base: &str) -> Result<Self, PlatformError> {
-        let bad = || PlatformError::BadAddress(base.to_owned());
+        let bad = || PlatformError::InvalidUrl(base.to_owned());
         let base = Url::parse(base).map_err(|_| bad())?;
         if base.cannot_be_a_base() {
             return Err(bad());
@@ -66,7 +66,7 @@
 
 async fn json<T: DeserializeOwned>(response: Response) -> Result<T, PlatformError> {
     let bytes = response.bytes().await.map_err(transport_error)?;
-    serde_json::from_slice(&bytes).map_err(|e| PlatformError::Garbage(e.to_string()))
+    serde_json::from_slice(&bytes).map_err(|e| PlatformError::Malformed(e.to_string()))
 }
 
 fn row_version(response: &Response) -> Result<RowVersion, PlatformError> {
@@ -78,7 +78,7 @@
     tag.trim_matches('"')
         .parse()
         .map(RowVersion)
-        .map_err(|_| PlatformError::Garbage(format!("ETag {tag:?}")))
+        .map_err(|_| PlatformError::Malformed(format!("ETag {tag:?}")))
 }
 
 impl Platform for HttpPlatform {
@@ -118,7 +118,7 @@
         }
     }
 
-    async fn write_batch(&self, writes: Vec<RowWrite>) -> Result<Vec<BatchAnswer>, PlatformError> {
+    async fn write_batch(&self, writes: Vec<RowWrite>) -> Result<Vec<WriteResult>, PlatformError> {
         let request = self.client.post(self.url(&["table-batch"])).json(&writes);
         let response = request.send().await.map_err(transport_error)?;
         match response.status() {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -27,4 +27,4 @@
 pub use config_store::{Change, ConfigHead, ConfigStore, SubmitError};
 pub use error::PlatformError;
 pub use http::HttpPlatform;
-pub use table::{BatchAnswer, Expect, Platform, Row, RowVersion, RowWrite, TaggedHosts};
+pub use table::{Expect, Platform, Row, RowVersion, RowWrite, TaggedHosts, WriteResult};
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -45,7 +45,7 @@
 /// What became of one write of a batch: written, or the row in its way.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum BatchAnswer {
+pub enum WriteResult {
     /// Written.
     Written(RowVersion),
     /// Not written: the row is as given.
@@ -81,7 +81,7 @@
     fn write_batch(
         &self,
         writes: Vec<RowWrite>,
-    ) -> impl Future<Output = Result<Vec<BatchAnswer>, PlatformError>> + Send;
+    ) -> impl Future<Output = Result<Vec<WriteResult>, PlatformError>> + Send;
 
     /// Reads an object.
     fn read_object(
--- a/crates/platform/tests/contract.rs
+++ b/crates/platform/tests/contract.rs
@@ -3,8 +3,8 @@
 
 use chalkrock_core::{ChangeId, ConfigVersion, FleetConfig, Host, HostState, Incarnation};
 use chalkrock_platform::{
-    BatchAnswer, Change, ConfigStore, Expect, HttpPlatform, Platform, PlatformError, RowWrite,
-    SubmitError,
+    Change, ConfigStore, Expect, HttpPlatform, Platform, PlatformError, RowWrite, SubmitError,
+    WriteResult,
 };
 use chalkrock_standin::{Faults, PlatformHandle, PlatformSettings, start_platform};
 use googletest::prelude::*;
@@ -63,11 +63,11 @@
         .unwrap();
     assert_that!(
         answers[0],
-        matches_pattern!(BatchAnswer::Conflict(some(anything())))
+        matches_pattern!(WriteResult::Conflict(some(anything())))
     );
     assert_that!(
         answers[1],
-        matches_pattern!(BatchAnswer::Written(anything()))
+        matches_pattern!(WriteResult::Written(anything()))
     );
 }
 
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -32,5 +32,5 @@
 pub use logs::{LogFormat, LogSettings, start_logs};
 pub use metrics::{Histogram, Metrics};
 pub use settings::{SettingsError, load_settings, parse_settings};
-pub use spans::{SpanSettings, inject, remote_parent, start_spans, trace_id};
+pub use spans::{SpanSettings, inject_trace_context, set_remote_parent, start_spans, trace_id};
 pub use stop::{Stop, StopHandle, stop_on_signal, stop_pair};
--- a/crates/process/src/spans.rs
+++ b/crates/process/src/spans.rs
@@ -76,13 +76,13 @@
 }
 
 /// Makes the span named in `traceparent`, if any, the parent of `span`.
-pub fn remote_parent(span: &Span, headers: &HeaderMap) {
+pub fn set_remote_parent(span: &Span, headers: &HeaderMap) {
     let parent = TraceContextPropagator::new().extract(&Reader(headers));
     let _not_recorded = span.set_parent(parent);
 }
 
 /// Writes `traceparent` of `span` into the headers of an outgoing call.
-pub fn inject(span: &Span, headers: &mut HeaderMap) {
+pub fn inject_trace_context(span: &Span, headers: &mut HeaderMap) {
     TraceContextPropagator::new().inject_context(&span.context(), &mut Writer(headers));
 }
 
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/stop.rs
@@ -26,14 +26,14 @@
 
 impl Stop {
     /// Whether a stop was asked for.
-    pub fn is_asked(&self) -> bool {
+    pub fn is_requested(&self) -> bool {
         *self.0.borrow()
     }
 
     /// Waits until a stop is asked for. A handle that is gone asks too.
-    pub async fn asked(&self) {
+    pub async fn requested(&self) {
         let mut rx = self.0.clone();
-        let _handle_gone = rx.wait_for(|asked| *asked).await;
+        let _handle_gone = rx.wait_for(|requested| *requested).await;
     }
 }
 
--- a/crates/proto/src/agent_api.rs
+++ b/crates/proto/src/agent_api.rs
@@ -110,7 +110,7 @@
 /// A router asks the owner of an engine for a slot there. Names travel as
 /// their hashes: asks are most of the control traffic.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// The hash of the engine's name.
     pub engine: u64,
     /// The low half of the hash of the organisation's name.
@@ -124,7 +124,7 @@
 
 /// The owner's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SlotAnswer {
+pub enum SlotResponse {
     /// A slot is held for the request until it is given back.
     Granted {
         /// Requests on the engine, this one included.
@@ -160,7 +160,7 @@
 /// One host's total for one pool, as it travels. Hosts and pools are named by
 /// the low half of their names' hashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadBody {
+pub struct HostPoolLoad {
     /// The pool.
     pub pool: u32,
     /// The host.
@@ -175,7 +175,7 @@
 
 /// An endpoint that was seen to leave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeavingBody {
+pub struct LeavingEndpoint {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// The life that leaves.
@@ -184,13 +184,13 @@
 
 /// One round of the exchange, the same in both directions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct PeerUpdate {
     /// The version in force at the sender.
     pub config_version: ConfigVersion,
     /// The freshest totals that it knows.
-    pub loads: Vec<LoadBody>,
+    pub loads: Vec<HostPoolLoad>,
     /// Endpoints that it lately saw leaving.
-    pub leaving: Vec<LeavingBody>,
+    pub leaving: Vec<LeavingEndpoint>,
 }
 
 /// What the write of a claim expects to find.
@@ -215,7 +215,7 @@
 
 /// What became of the write of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimAnswer {
+pub enum ClaimResult {
     /// It is in the table.
     Written {
         /// The row's version.
@@ -247,7 +247,7 @@
     async fn watch_view(known: KnownView) -> Result<ViewUpdate, PeerError>;
 
     /// Asks for a slot.
-    async fn ask_slot(ask: SlotAsk) -> Result<SlotAnswer, PeerError>;
+    async fn ask_slot(ask: SlotRequest) -> Result<SlotResponse, PeerError>;
 
     /// Gives slots back.
     async fn return_slots(returns: Vec<SlotCount>) -> Result<(), PeerError>;
@@ -256,10 +256,10 @@
     async fn adopt_slots(held: Vec<SlotCount>) -> Result<(), PeerError>;
 
     /// Exchanges news with another agent.
-    async fn exchange(news: News) -> Result<News, PeerError>;
+    async fn exchange(news: PeerUpdate) -> Result<PeerUpdate, PeerError>;
 
     /// Writes a claim, together with others.
-    async fn write_claim(write: ClaimWrite) -> Result<ClaimAnswer, PeerError>;
+    async fn write_claim(write: ClaimWrite) -> Result<ClaimResult, PeerError>;
 
     /// The configuration in force here, for an agent that has an older one.
     async fn config_body() -> Result<Option<ConfigBody>, PeerError>;
--- a/crates/proto/src/counted.rs
+++ b/crates/proto/src/counted.rs
@@ -12,12 +12,12 @@
 /// Bytes that crossed the sockets of one kind, both ways, without the
 /// headers of TCP and IP.
 #[derive(Debug, Default)]
-pub struct ByteCount {
+pub struct ByteCounter {
     read_bytes: AtomicU64,
     written_bytes: AtomicU64,
 }
 
-impl ByteCount {
+impl ByteCounter {
     /// Bytes received so far.
     pub fn read_bytes(&self) -> u64 {
         self.read_bytes.load(Ordering::Relaxed)
@@ -29,21 +29,21 @@
     }
 }
 
-/// A stream whose bytes are added to a [`ByteCount`].
+/// A stream whose bytes are added to a [`ByteCounter`].
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     stream: S,
-    count: Arc<ByteCount>,
+    count: Arc<ByteCounter>,
 }
 
-impl<S> Counted<S> {
+impl<S> CountedStream<S> {
     /// Wraps a stream.
-    pub fn new(stream: S, count: Arc<ByteCount>) -> Self {
+    pub fn new(stream: S, count: Arc<ByteCounter>) -> Self {
         Self { stream, count }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -59,7 +59,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! ```no_run
 //! use std::sync::Arc;
-//! use chalkrock_proto::{ByteCount, Hello, KnownView, PROTOCOL_VERSION, Purpose, connect};
+//! use chalkrock_proto::{ByteCounter, Hello, KnownView, PROTOCOL_VERSION, Purpose, connect};
 //!
 //! # async fn follow() -> Result<(), Box<dyn std::error::Error>> {
 //! let hello = Hello {
@@ -18,7 +18,7 @@
 //!     host: "host-1".into(),
 //!     purpose: Purpose::View,
 //! };
-//! let count = Arc::new(ByteCount::default());
+//! let count = Arc::new(ByteCounter::default());
 //! let agent = connect("127.0.0.1:7101".parse()?, hello, count).await?;
 //! let update = agent.watch_view(tarpc::context::current(), KnownView::default()).await??;
 //! println!("{:?}", update.config);
@@ -32,10 +32,10 @@
 mod transport;
 
 pub use agent_api::{
-    AgentApi, AgentApiClient, ClaimAnswer, ClaimExpect, ClaimWrite, ConfigBody, Hello, HostsBody,
-    KnownView, LeavingBody, LoadBody, News, PROTOCOL_VERSION, PeerError, Purpose, SlotAnswer,
-    SlotAsk, SlotCount, ViewUpdate,
+    AgentApi, AgentApiClient, ClaimExpect, ClaimResult, ClaimWrite, ConfigBody, Hello,
+    HostPoolLoad, HostsBody, KnownView, LeavingEndpoint, PROTOCOL_VERSION, PeerError, PeerUpdate,
+    Purpose, SlotCount, SlotRequest, SlotResponse, ViewUpdate,
 };
-pub use counted::{ByteCount, Counted};
+pub use counted::{ByteCounter, CountedStream};
 pub use traffic::{Traffic, TrafficBytes};
-pub use transport::{ConnectError, CountedTransport, FRAME_MAX_BYTES, connect, transport};
+pub use transport::{ConnectError, CountedTransport, MAX_FRAME_BYTES, connect, transport};
--- a/crates/proto/src/traffic.rs
+++ b/crates/proto/src/traffic.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use crate::agent_api::Purpose;
-use crate::counted::ByteCount;
+use crate::counted::ByteCounter;
 
 /// Bytes that crossed sockets, both ways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,19 +32,19 @@
 #[derive(Debug, Default)]
 struct State {
     closed: BTreeMap<Purpose, TrafficBytes>,
-    open: Vec<(Purpose, Arc<ByteCount>)>,
+    open: Vec<(Purpose, Arc<ByteCounter>)>,
 }
 
 impl Traffic {
     /// A count for a new connection.
-    pub fn open(&self, purpose: Purpose) -> Arc<ByteCount> {
-        let count = Arc::new(ByteCount::default());
+    pub fn open(&self, purpose: Purpose) -> Arc<ByteCounter> {
+        let count = Arc::new(ByteCounter::default());
         self.attach(purpose, count.clone());
         count
     }
 
     /// Adds a connection whose purpose became known after it was opened.
-    pub fn attach(&self, purpose: Purpose, count: Arc<ByteCount>) {
+    pub fn attach(&self, purpose: Purpose, count: Arc<ByteCounter>) {
         let mut state = self.state();
         state.fold_closed();
         state.open.push((purpose, count));
@@ -90,7 +90,7 @@
 }
 
 impl TrafficBytes {
-    fn add(&mut self, count: &ByteCount) {
+    fn add(&mut self, count: &ByteCounter) {
         self.read_bytes += count.read_bytes();
         self.written_bytes += count.written_bytes();
     }
--- a/crates/proto/src/transport.rs
+++ b/crates/proto/src/transport.rs
@@ -12,11 +12,11 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::agent_api::{AgentApiClient, Hello, PeerError};
-use crate::counted::{ByteCount, Counted};
+use crate::counted::{ByteCounter, CountedStream};
 
 /// The largest frame that is read. A configuration of 1,800 organisations is
 /// some 400 KB; a peer that sends more is cut off before it is buffered.
-pub const FRAME_MAX_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 /// How long a connection and its hello may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -49,20 +49,20 @@
 
 /// A transport of one service's messages over a counted stream.
 pub type CountedTransport<Item, SinkItem> =
-    Transport<Counted<TcpStream>, Item, SinkItem, Bincode<Item, SinkItem>>;
+    Transport<CountedStream<TcpStream>, Item, SinkItem, Bincode<Item, SinkItem>>;
 
 /// Frames a stream for a service.
 pub fn transport<Item, SinkItem>(
     stream: TcpStream,
-    count: Arc<ByteCount>,
+    count: Arc<ByteCounter>,
 ) -> CountedTransport<Item, SinkItem>
 where
     Item: for<'de> Deserialize<'de>,
     SinkItem: Serialize,
 {
     let framed = LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_MAX_BYTES)
-        .new_framed(Counted::new(stream, count));
+        .max_frame_length(MAX_FRAME_BYTES)
+        .new_framed(CountedStream::new(stream, count));
     tarpc::serde_transport::new(framed, Bincode::default())
 }
 
@@ -74,7 +74,7 @@
 pub async fn connect(
     address: SocketAddr,
     hello: Hello,
-    count: Arc<ByteCount>,
+    count: Arc<ByteCounter>,
 ) -> Result<AgentApiClient, ConnectError> {
     let no_hello = ConnectError::NoHello { address };
     let opening = async {
--- a/crates/quickstart/src/main.rs
+++ b/crates/quickstart/src/main.rs
@@ -73,6 +73,6 @@
     println!("Running until Ctrl-C.");
     let (handle, stop) = stop_pair();
     stop_on_signal(handle);
-    stop.asked().await;
+    stop.requested().await;
     Ok(())
 }
--- a/crates/router/src/chat/mod.rs
+++ b/crates/router/src/chat/mod.rs
@@ -54,7 +54,7 @@
     body: Body,
 ) -> Response {
     let span = tracing::info_span!("chat");
-    chalkrock_process::remote_parent(&span, &headers);
+    chalkrock_process::set_remote_parent(&span, &headers);
     let request = state.request_id();
     let mut explanation = Explanation::new(request.clone(), chalkrock_process::trace_id(&span));
     let served = serve(&state, &mut explanation, &headers, body)
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -11,7 +11,7 @@
     key_digest,
 };
 use chalkrock_proto::{
-    AgentApiClient, ClaimAnswer, ClaimExpect, ClaimWrite, Hello, Purpose, connect,
+    AgentApiClient, ClaimExpect, ClaimResult, ClaimWrite, Hello, Purpose, connect,
 };
 use tarpc::context;
 
@@ -94,14 +94,14 @@
     // Twice: the row of a request that did not run may be replaced once.
     for _ in 0..2 {
         match write(state, view, &row_key, &row, expect).await {
-            ClaimAnswer::Written { version } => {
+            ClaimResult::Written { version } => {
                 return Ok(Claim {
                     row_key,
                     row,
                     version,
                 });
             }
-            ClaimAnswer::Found { version, value } => match decide(&row, &value)? {
+            ClaimResult::Found { version, value } => match decide(&row, &value)? {
                 ClaimDecision::Own => {
                     return Ok(Claim {
                         row_key,
@@ -115,11 +115,11 @@
                     return Err(Refusal::new(reason, detail));
                 }
             },
-            ClaimAnswer::Unsettled => {
+            ClaimResult::Unsettled => {
                 abandon(state, row_key, row);
                 break;
             }
-            ClaimAnswer::Gone | ClaimAnswer::Unavailable => break,
+            ClaimResult::Gone | ClaimResult::Unavailable => break,
         }
     }
     let detail = "the claim could not be written, so the request was not run";
@@ -136,13 +136,13 @@
         for _ in 0..ABANDON_TRIES {
             let view = state.view.load_full();
             match write(&state, &view, &row_key, &row, expect).await {
-                ClaimAnswer::Written { .. } => return,
-                ClaimAnswer::Found { version, value } => match decide(&row, &value) {
+                ClaimResult::Written { .. } => return,
+                ClaimResult::Found { version, value } => match decide(&row, &value) {
                     Ok(ClaimDecision::Own) => expect = ClaimExpect::Version(version),
                     _ => return,
                 },
-                ClaimAnswer::Gone => expect = ClaimExpect::Absent,
-                ClaimAnswer::Unavailable | ClaimAnswer::Unsettled => {
+                ClaimResult::Gone => expect = ClaimExpect::Absent,
+                ClaimResult::Unavailable | ClaimResult::Unsettled => {
                     tokio::time::sleep(END_PAUSE).await;
                 }
             }
@@ -165,12 +165,12 @@
     row_key: &str,
     row: &ClaimRow,
     expect: ClaimExpect,
-) -> ClaimAnswer {
+) -> ClaimResult {
     let Ok(value) = serde_json::to_string(row) else {
-        return ClaimAnswer::Unavailable;
+        return ClaimResult::Unavailable;
     };
     let Some(writer) = writer(state, view, row_key).await else {
-        return ClaimAnswer::Unavailable;
+        return ClaimResult::Unavailable;
     };
     let write = ClaimWrite {
         key: row_key.to_owned(),
@@ -182,11 +182,11 @@
         Ok(Ok(Ok(answer))) => answer,
         Ok(Ok(Err(error))) => {
             log::warn!(target: PART, "Writer refused: {error}.");
-            ClaimAnswer::Unavailable
+            ClaimResult::Unavailable
         }
         Ok(Err(_)) | Err(_) => {
             state.claim_writers.forget(row_key);
-            ClaimAnswer::Unsettled
+            ClaimResult::Unsettled
         }
     }
 }
@@ -240,9 +240,9 @@
                 let view = state.view.load_full();
                 let expect = ClaimExpect::Version(self.version);
                 match write(&state, &view, &self.row_key, &self.row, expect).await {
-                    ClaimAnswer::Written { .. } => return,
-                    ClaimAnswer::Found { .. } | ClaimAnswer::Gone => break,
-                    ClaimAnswer::Unavailable | ClaimAnswer::Unsettled => {
+                    ClaimResult::Written { .. } => return,
+                    ClaimResult::Found { .. } | ClaimResult::Gone => break,
+                    ClaimResult::Unavailable | ClaimResult::Unsettled => {
                         tokio::time::sleep(END_PAUSE).await;
                     }
                 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -34,7 +34,7 @@
 pub(crate) async fn send(state: &State, attempt: Attempt<'_>) -> Result<Response, Refusal> {
     let span = tracing::info_span!("dispatch", endpoint = %attempt.endpoint.name);
     let mut headers = attempt.headers;
-    chalkrock_process::inject(&span, &mut headers);
+    chalkrock_process::inject_trace_context(&span, &mut headers);
     if let Ok(id) = attempt.request.as_str().parse() {
         headers.insert(REQUEST_ID, id);
     }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -52,7 +52,7 @@
     explanation: &mut Explanation,
     headers: &HeaderMap,
 ) -> Result<Entered, Refusal> {
-    if state.stop.is_asked() {
+    if state.stop.is_requested() {
         return Err(Refusal::new(
             Reason::Leaving,
             "this host is leaving, ask another one",
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -24,7 +24,7 @@
         router.address(),
         router.operator_address()
     );
-    stop.asked().await;
+    stop.requested().await;
     router.stop().await;
     Ok(())
 }
--- a/crates/router/src/operators.rs
+++ b/crates/router/src/operators.rs
@@ -37,7 +37,7 @@
 pub(crate) async fn ready(Extract(state): Extract<Arc<State>>) -> (StatusCode, &'static str) {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let view = state.view.load();
-    if state.stop.is_asked() {
+    if state.stop.is_requested() {
         return (unavailable, "leaving");
     }
     if !view.is_complete() {
--- a/crates/router/src/owners.rs
+++ b/crates/router/src/owners.rs
@@ -11,7 +11,7 @@
 use arc_swap::ArcSwapOption;
 use chalkrock_core::{AskAnswer, LoadSampler, PoolId};
 use chalkrock_proto::{
-    AgentApiClient, Hello, Purpose, SlotAnswer, SlotAsk, SlotCount, Traffic, connect,
+    AgentApiClient, Hello, Purpose, SlotCount, SlotRequest, SlotResponse, Traffic, connect,
 };
 use tarpc::context;
 use tokio::sync::Notify;
@@ -123,25 +123,25 @@
             engine: engine.hash.0,
             organisation,
         };
-        let ask = SlotAsk {
+        let ask = SlotRequest {
             engine: slot.engine,
             organisation,
             wait_ms: wait_ms as u16,
             sampled_mean_thousandths: self.sampled_thousandths(&engine.endpoint.pool),
         };
         match tokio::time::timeout(limit, self.ask_owner(owner, ask)).await {
-            Ok(Some(SlotAnswer::Granted { in_progress })) => {
+            Ok(Some(SlotResponse::Granted { in_progress })) => {
                 *self.slots().held.entry(slot).or_insert(0) += 1;
                 Some(AskAnswer::Granted { load: in_progress })
             }
-            Ok(Some(SlotAnswer::AtBound { in_progress })) => {
+            Ok(Some(SlotResponse::AtBound { in_progress })) => {
                 Some(AskAnswer::AtBound { load: in_progress })
             }
-            Ok(Some(SlotAnswer::OverShare { in_progress })) => {
+            Ok(Some(SlotResponse::OverShare { in_progress })) => {
                 Some(AskAnswer::OverShare { load: in_progress })
             }
-            Ok(Some(SlotAnswer::Leaving)) => Some(AskAnswer::Absent),
-            Ok(Some(SlotAnswer::NotOwner) | None) => None,
+            Ok(Some(SlotResponse::Leaving)) => Some(AskAnswer::Absent),
+            Ok(Some(SlotResponse::NotOwner) | None) => None,
             Err(_) => {
                 log::debug!(target: PART, "Owner {owner} does not answer.");
                 None
@@ -166,7 +166,11 @@
             .sample(relative);
     }
 
-    async fn ask_owner(self: &Arc<Self>, owner: SocketAddr, ask: SlotAsk) -> Option<SlotAnswer> {
+    async fn ask_owner(
+        self: &Arc<Self>,
+        owner: SocketAddr,
+        ask: SlotRequest,
+    ) -> Option<SlotResponse> {
         let link = self.link(owner);
         let connected = link.connected.notified();
         if link.client.load().is_none() {
--- a/crates/router/src/service_calls.rs
+++ b/crates/router/src/service_calls.rs
@@ -45,7 +45,7 @@
     call: Request,
 ) -> Response {
     let span = tracing::info_span!("service call");
-    chalkrock_process::remote_parent(&span, call.headers());
+    chalkrock_process::set_remote_parent(&span, call.headers());
     let request = state.request_id();
     let mut explanation = Explanation::new(request.clone(), chalkrock_process::trace_id(&span));
     let name = parts.first().map_or("", String::as_str);
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -93,7 +93,7 @@
             }
         });
     let serving =
-        axum::serve(listener, app).with_graceful_shutdown(async move { stop.asked().await });
+        axum::serve(listener, app).with_graceful_shutdown(async move { stop.requested().await });
     if let Err(error) = serving.await {
         log::error!(target: PART, "Callers' server ended: {error}.");
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -37,17 +37,17 @@
         Standin::Engine(settings) => {
             let engine = start_engine(settings).await?;
             println!("listening {}", engine.address());
-            stop.asked().await;
+            stop.requested().await;
         }
         Standin::Service(settings) => {
             let service = start_service(settings).await?;
             println!("listening {}", service.address());
-            stop.asked().await;
+            stop.requested().await;
         }
         Standin::Platform(settings) => {
             let platform = start_platform(settings).await?;
             println!("listening {}", platform.address());
-            stop.asked().await;
+            stop.requested().await;
         }
     }
     Ok(())
