--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,16 +1,16 @@
-//! The commands and their arguments.
+//! Commands and arguments.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::path::PathBuf;
 
-/// The whole command line.
+/// Builds the command line.
 pub fn command() -> Command {
     Command::new("chalkrockctl")
-        .about("Submits configurations, and shows what the fleet does")
+        .about("Manages the fleet's configuration and shows its state")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(
-            "Exit codes: 0 done, 1 failed, 2 the input must be changed, 3 another change came \
-             first, 4 the change may have been accepted.",
+            "Exit codes: 0 success, 1 failure, 2 invalid input, 3 conflict with another change, \
+             4 the change may have been accepted.",
         )
         .subcommand_required(true)
         .arg(
@@ -19,7 +19,7 @@
                 .value_name("URL")
                 .default_value("http://127.0.0.1:7000")
                 .global(true)
-                .help("The platform's base URL"),
+                .help("Base URL of the platform"),
         )
         .arg(
             Arg::new("router")
@@ -27,7 +27,7 @@
                 .value_name("URL")
                 .action(ArgAction::Append)
                 .global(true)
-                .help("Operators' URL of a router; may be given many times"),
+                .help("Operator URL of a router; may be repeated"),
         )
         .arg(
             Arg::new("operator-key-file")
@@ -35,7 +35,7 @@
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
                 .global(true)
-                .help("File with the operator's key"),
+                .help("File that contains the operator key"),
         )
         .arg(
             Arg::new("output")
@@ -43,7 +43,7 @@
                 .value_parser(["yaml", "json"])
                 .default_value("yaml")
                 .global(true)
-                .help("Form of the output"),
+                .help("Output format"),
         )
         .subcommand(apply())
         .subcommand(
@@ -53,37 +53,37 @@
         )
         .subcommand(
             Command::new("diff")
-                .about("Compares a file with what is in force")
+                .about("Compares a file with the configuration in force")
                 .arg(file()),
         )
-        .subcommand(Command::new("history").about("Lists versions: author, time and reason"))
+        .subcommand(Command::new("history").about("Lists versions with author, time and reason"))
         .subcommand(
             Command::new("rollback")
-                .about("Submits an earlier version's content as a new version")
+                .about("Submits the content of an earlier version as a new version")
                 .arg(version().required(true))
                 .args(authorship()),
         )
         .subcommand(
             Command::new("check")
-                .about("Checks a configuration file")
+                .about("Validates a configuration file")
                 .arg(file()),
         )
-        .subcommand(Command::new("hosts").about("Lists hosts of the fleet"))
-        .subcommand(Command::new("engines").about("Lists endpoints"))
+        .subcommand(Command::new("hosts").about("Lists the hosts of the fleet"))
+        .subcommand(Command::new("engines").about("Lists the endpoints of the fleet"))
         .subcommand(
             Command::new("explain")
-                .about("Shows why a request went where it went")
+                .about("Explains the routing of a request")
                 .arg(Arg::new("request").value_name("REQUEST").required(true)),
         )
         .subcommand(
             Command::new("story")
-                .about("Tells a request's story from the lines that hosts wrote")
+                .about("Shows the log records of a request and the related events of its hosts")
                 .arg(Arg::new("request").value_name("REQUEST").required(true))
                 .arg(logs()),
         )
         .subcommand(
             Command::new("rollout")
-                .about("Tells how a pool moved to another build, and on what evidence")
+                .about("Shows the stages of a pool's rollout and the evidence for each")
                 .arg(Arg::new("pool").value_name("POOL").required(true))
                 .arg(logs()),
         )
@@ -95,7 +95,7 @@
         .num_args(1..)
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("Files with the lines of hosts")
+        .help("Log files of hosts")
 }
 
 fn apply() -> Command {
@@ -106,20 +106,20 @@
             Arg::new("dry-run")
                 .long("dry-run")
                 .action(ArgAction::SetTrue)
-                .help("Check and show the difference only"),
+                .help("Validate the file and show the difference without submitting"),
         )
         .arg(
             Arg::new("expect")
                 .long("expect")
                 .value_name("VERSION")
                 .value_parser(value_parser!(u64))
-                .help("The version that the file was made from"),
+                .help("Version that the file is based on"),
         )
         .arg(
             Arg::new("wait")
                 .long("wait")
                 .action(ArgAction::SetTrue)
-                .help("Wait until it is in force at all routers given"),
+                .help("Wait until the version is in force at all given routers"),
         )
         .args(authorship())
 }
@@ -133,8 +133,8 @@
             .help(help)
     };
     [
-        text("author", "operator", "Who makes the change"),
-        text("reason", "", "Why"),
+        text("author", "operator", "Author of the change"),
+        text("reason", "", "Reason for the change"),
     ]
 }
 
--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -1,4 +1,4 @@
-//! Submitting configurations, and looking at their history.
+//! Submission, comparison and history of configurations.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -12,42 +12,42 @@
 use crate::error::CtlError;
 use crate::fleet::Session;
 
-/// The configuration in force in the platform.
+/// A version of the configuration and its record.
 #[derive(Clone, Debug, Serialize)]
-pub struct VersionedConfig {
-    /// Its version and how it came.
+pub struct Revision {
+    /// The version, author and reason.
     pub head: ConfigHead,
-    /// The document.
+    /// The configuration document.
     pub config: FleetConfig,
 }
 
-/// What `apply` is asked to do.
+/// The arguments of [`Session::apply`].
 #[derive(Clone, Debug)]
 pub struct Submission<'a> {
-    /// The file.
+    /// The configuration file.
     pub file: &'a Path,
-    /// The version that the file was made from; the one in force if not said.
+    /// The version that the file is based on; defaults to the one in force.
     pub expect: Option<ConfigVersion>,
-    /// Who submits it.
+    /// The author of the change.
     pub author: String,
-    /// Why.
+    /// The reason for the change.
     pub reason: String,
-    /// Only check and show the difference.
+    /// Validate and compare without submitting.
     pub dry_run: bool,
 }
 
-/// What `apply` did.
+/// The result of a submission.
 #[derive(Clone, Debug, Serialize)]
 pub struct Applied {
-    /// The new version, or the one that stays in a dry run.
+    /// The new version, or the one in force after a dry run.
     pub version: ConfigVersion,
-    /// Whether it was submitted.
+    /// Whether the configuration was submitted.
     pub submitted: bool,
-    /// The difference to the version before.
+    /// The unified diff from the previous version.
     pub difference: String,
 }
 
-/// Reads and checks a configuration file.
+/// Reads and validates a configuration file.
 pub(crate) fn read_file(file: &Path) -> Result<FleetConfig, CtlError> {
     let config: FleetConfig = load_settings(file)?;
     config.check().map_err(|source| CtlError::Invalid {
@@ -57,7 +57,7 @@
     Ok(config)
 }
 
-/// The difference of two documents, as a unified diff of their YAML.
+/// Returns the unified diff of two configurations in YAML.
 pub(crate) fn difference(before: &FleetConfig, after: &FleetConfig, names: (&str, &str)) -> String {
     let yaml = |config| serde_yaml_ng::to_string(config).unwrap_or_default();
     let (before, after) = (yaml(before), yaml(after));
@@ -69,25 +69,25 @@
 }
 
 impl Session {
-    /// The configuration in force, `None` before the first.
+    /// Returns the configuration in force, or `None` before the first submission.
     ///
     /// # Errors
     ///
-    /// If the platform fails.
-    pub async fn current(&self) -> Result<Option<VersionedConfig>, CtlError> {
+    /// Returns an error if the platform fails.
+    pub async fn current(&self) -> Result<Option<Revision>, CtlError> {
         let Some(head) = self.store().read_head().await? else {
             return Ok(None);
         };
         let config = self.store().read_config(&head).await?;
-        Ok(Some(VersionedConfig { head, config }))
+        Ok(Some(Revision { head, config }))
     }
 
-    /// An earlier version, with what made it.
+    /// Returns a recorded version of the configuration.
     ///
     /// # Errors
     ///
-    /// If there is no such version, or the platform fails.
-    pub async fn version(&self, version: ConfigVersion) -> Result<VersionedConfig, CtlError> {
+    /// Returns an error if there is no such version or the platform fails.
+    pub async fn version(&self, version: ConfigVersion) -> Result<Revision, CtlError> {
         let head = self
             .history()
             .await?
@@ -95,32 +95,32 @@
             .find(|head| head.version == version);
         let head = head.ok_or(CtlError::NoVersion(version))?;
         let config = self.store().read_config(&head).await?;
-        Ok(VersionedConfig { head, config })
+        Ok(Revision { head, config })
     }
 
-    /// The versions that the head remembers, newest first.
+    /// Lists the recorded versions, newest first.
     ///
     /// # Errors
     ///
-    /// If the platform fails.
+    /// Returns an error if the platform fails.
     pub async fn history(&self) -> Result<Vec<ConfigHead>, CtlError> {
         Ok(self.store().read_history().await?)
     }
 
-    /// Checks a file.
+    /// Validates a file.
     ///
     /// # Errors
     ///
-    /// If the file is not valid.
+    /// Returns an error if the file is not valid.
     pub fn check(&self, file: &Path) -> Result<(), CtlError> {
         read_file(file).map(|_| ())
     }
 
-    /// The difference between the version in force and a file.
+    /// Returns the difference between the version in force and a file.
     ///
     /// # Errors
     ///
-    /// If the file is not valid, or the platform fails.
+    /// Returns an error if the file is not valid or the platform fails.
     pub async fn diff(&self, file: &Path) -> Result<String, CtlError> {
         let config = read_file(file)?;
         let before = self
@@ -135,8 +135,8 @@
     ///
     /// # Errors
     ///
-    /// If the file is not valid, another change came first, or the platform
-    /// fails; each says whether anything was changed.
+    /// Returns an error if the file is not valid, another change was made
+    /// first, or the platform fails.
     pub async fn apply(&self, submission: Submission<'_>) -> Result<Applied, CtlError> {
         let config = read_file(submission.file)?;
         let current = self.current().await?;
@@ -165,11 +165,11 @@
         })
     }
 
-    /// Submits the content of an earlier version as a new one.
+    /// Submits the content of an earlier version as a new version.
     ///
     /// # Errors
     ///
-    /// As for [`Session::apply`].
+    /// Returns an error under the same conditions as [`Session::apply`].
     pub async fn rollback(
         &self,
         to: ConfigVersion,
@@ -203,8 +203,8 @@
         }
     }
 
-    /// The error of an operator who lost a race, with both differences to the
-    /// version that the file was made from.
+    /// Builds a conflict error with the differences from the expected version to
+    /// the one in force and to the submitted one.
     async fn conflict(&self, expected: ConfigVersion, yours: &FleetConfig) -> CtlError {
         let current = match self.current().await {
             Ok(Some(current)) => current,
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong for an operator, with what to do next.
+//! Errors of commands, with advice for the operator.
 
 use chalkrock_core::ConfigVersion;
 use chalkrock_platform::{PlatformError, SubmitError};
@@ -8,71 +8,71 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CtlError {
-    /// The configuration file is not valid.
+    /// The configuration file can't be read or parsed.
     #[error("{0}")]
     File(#[from] SettingsError),
-    /// The configuration file can be read, but its content does not hold.
+    /// The configuration fails validation.
     #[error("{file}: {source}")]
     Invalid {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// What does not hold.
+        /// The validation error.
         source: chalkrock_core::Error,
     },
-    /// Another change came first.
+    /// Another change was made first.
     #[error(
-        "the configuration is at {current} and not at {expected}; nothing was changed.\n\
-         Look at the differences below, edit your file, and apply it with --expect {}",
+        "the configuration is at {current}, expected {expected}; nothing was changed.\n\
+         Review the differences below, edit the file and apply it with --expect {}",
         current.0
     )]
     Conflict {
-        /// The version expected.
+        /// The expected version.
         expected: ConfigVersion,
         /// The version in force.
         current: ConfigVersion,
-        /// From the version expected to the one in force, and to yours.
+        /// The diffs from the expected version to the one in force and the submitted one.
         differences: String,
     },
     /// The submission failed.
     #[error("{0}")]
     Submit(#[from] SubmitError),
     /// The platform failed.
-    #[error("{0}; try again, or look at the platform's state")]
+    #[error("{0}; try again or check the state of the platform")]
     Platform(#[from] PlatformError),
-    /// There is no such version.
-    #[error("there is no {0}; `chalkrockctl history` lists what there is")]
+    /// The version does not exist.
+    #[error("there is no {0}; `chalkrockctl history` lists the versions")]
     NoVersion(ConfigVersion),
-    /// No configuration was submitted yet.
+    /// No configuration has been submitted.
     #[error("there is no configuration yet; submit one with `chalkrockctl apply FILE`")]
     NoConfig,
-    /// No line speaks of what was asked for.
-    #[error("no line speaks of {0}; are the logs of the hosts that saw it among the files?")]
+    /// No log record matches the request or pool.
+    #[error("no log record matches {0}; include the logs of the hosts that handled it")]
     NoMatchingLines(String),
-    /// A router did not answer.
+    /// A request to a router failed.
     #[error("router {url}: {reason}")]
     Router {
-        /// Its operators' URL.
+        /// The operator URL of the router.
         url: String,
-        /// What it said.
+        /// The reason for the failure.
         reason: String,
     },
-    /// The version did not come into force everywhere in time.
+    /// The version is not in force at all routers before the timeout.
     #[error("{in_force} of {routers} routers have {version} in force after {waited_s} s")]
     NotInForce {
-        /// The version.
+        /// The awaited version.
         version: ConfigVersion,
-        /// Routers that have it.
+        /// The number of routers where it is in force.
         in_force: usize,
-        /// Routers asked.
+        /// The number of routers polled.
         routers: usize,
-        /// How long was waited.
+        /// The wait time in seconds.
         waited_s: u64,
     },
 }
 
 impl CtlError {
-    /// The exit code: 2 for input that must be changed, 3 for a lost race,
-    /// 4 for a change that may have been accepted, 1 for all else.
+    /// Returns the exit code: 2 for invalid input, 3 for a conflict, 4 for a
+    /// change that may have been accepted, 1 otherwise.
     pub fn exit_code(&self) -> u8 {
         match self {
             CtlError::File(_) | CtlError::Invalid { .. } => 2,
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Looking at the fleet: hosts, endpoints, routers, and single requests.
+//! Queries of the fleet: hosts, endpoints, routers and requests.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::error::CtlError;
 
-const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const WAIT_PAUSE: Duration = Duration::from_millis(100);
+const HTTP_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What commands talk to.
+/// Connections to the platform and the routers.
 #[derive(Clone, Debug)]
 pub struct Session {
     platform: HttpPlatform,
@@ -23,17 +23,17 @@
 }
 
 impl Session {
-    /// A session with a platform and the operators' URLs of routers.
+    /// Creates a session from the platform URL and the operator URLs of routers.
     ///
     /// # Errors
     ///
-    /// If the platform's address is not a URL.
+    /// Returns an error if `platform_url` is not a URL or the client can't be built.
     pub fn new(
         platform_url: &str,
         routers: Vec<String>,
         operator_key: Option<String>,
     ) -> Result<Self, CtlError> {
-        let client = Client::builder().no_proxy().timeout(CALL_TIMEOUT).build();
+        let client = Client::builder().no_proxy().timeout(HTTP_TIMEOUT).build();
         let client = client.map_err(|error| CtlError::Router {
             url: "none".to_owned(),
             reason: error.to_string(),
@@ -50,48 +50,48 @@
         ConfigStore::new(self.platform.clone())
     }
 
-    /// Hosts and endpoints as the platform lists them.
+    /// Returns the hosts and endpoints that the platform lists.
     ///
     /// # Errors
     ///
-    /// If the platform fails.
+    /// Returns an error if the platform fails.
     pub async fn hosts(&self) -> Result<HostList, CtlError> {
         let read = self.platform.read_hosts(None).await?;
         Ok(read.map(|read| read.list).unwrap_or_default())
     }
 
-    /// The explanation of a request, from whichever router keeps it.
+    /// Returns the explanation of a request from the first router that has it.
     ///
     /// # Errors
     ///
-    /// If no router keeps it, with what the last one said.
+    /// Returns the error of the last router if no router has it.
     pub async fn explain(&self, request: &str) -> Result<Value, CtlError> {
-        let mut failed = CtlError::Router {
+        let mut last_error = CtlError::Router {
             url: "none".to_owned(),
-            reason: "name routers with --router URL".to_owned(),
+            reason: "specify a router with --router URL".to_owned(),
         };
         for router in &self.routers {
             match self.explain_at(router, request).await {
                 Ok(explanation) => return Ok(explanation),
-                Err(error) => failed = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(failed)
+        Err(last_error)
     }
 
-    async fn explain_at(&self, router: &str, request: &str) -> Result<Value, CtlError> {
+    async fn explain_at(&self, router: &str, request_id: &str) -> Result<Value, CtlError> {
         let error = |reason: String| CtlError::Router {
             url: router.to_owned(),
             reason,
         };
-        let call = self
+        let request = self
             .client
-            .get(format!("{router}/debug/requests/{request}"));
-        let call = match &self.operator_key {
-            Some(key) => call.bearer_auth(key),
-            None => call,
+            .get(format!("{router}/debug/requests/{request_id}"));
+        let request = match &self.operator_key {
+            Some(key) => request.bearer_auth(key),
+            None => request,
         };
-        let response = call.send().await.map_err(|e| error(e.to_string()))?;
+        let response = request.send().await.map_err(|e| error(e.to_string()))?;
         let is_success = response.status().is_success();
         let body: Value = response.json().await.map_err(|e| error(e.to_string()))?;
         if is_success {
@@ -105,15 +105,15 @@
         ))
     }
 
-    /// Waits until a version, or a later one, is in force at all routers.
+    /// Waits until a version or a later one is in force at all routers.
     ///
     /// # Errors
     ///
-    /// If it is not in time.
+    /// Returns [`CtlError::NotInForce`] after `timeout`.
     pub async fn wait_in_force(
         &self,
         version: ConfigVersion,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(), CtlError> {
         let start = Instant::now();
         loop {
@@ -124,9 +124,9 @@
             if in_force == self.routers.len() {
                 return Ok(());
             }
-            if start.elapsed() >= limit {
+            if start.elapsed() >= timeout {
                 let routers = self.routers.len();
-                let waited_s = limit.as_secs();
+                let waited_s = timeout.as_secs();
                 return Err(CtlError::NotInForce {
                     version,
                     in_force,
@@ -134,7 +134,7 @@
                     waited_s,
                 });
             }
-            tokio::time::sleep(WAIT_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operator's command line.
 //!
-//! Operators submit configurations, look at them and at the fleet, and ask
-//! why a request went where it went. The commands are functions of a
-//! [`Session`], so that other tools and tests can call them.
+//! Manages configurations, shows the state of the fleet and explains the
+//! routing of requests. The commands are methods of [`Session`], for use by
+//! other tools and tests.
 //!
 //! # Example
 //!
@@ -22,11 +22,11 @@
 mod error;
 mod fleet;
 mod output;
-mod story;
+mod trace;
 
 pub use command::command;
-pub use config::{Applied, Submission, VersionedConfig};
+pub use config::{Applied, Revision, Submission};
 pub use error::CtlError;
 pub use fleet::Session;
 pub use output::{Output, print};
-pub use story::Story;
+pub use trace::Trace;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use chalkrock_core::ConfigVersion;
-use chalkrockctl::{CtlError, Output, Session, Story, Submission, command, print};
+use chalkrockctl::{CtlError, Output, Session, Submission, Trace, command, print};
 use clap::ArgMatches;
 use eyre::WrapErr;
 
-/// How long `--wait` waits.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of `apply --wait`.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
@@ -53,7 +53,7 @@
         }
         "hosts" => print(&session.hosts().await?.hosts, output),
         "engines" => print(&session.hosts().await?.endpoints, output),
-        "story" => println!("{}", story(matches)?),
+        "story" => println!("{}", trace(matches)?),
         "rollout" => println!("{}", rollout(matches)?),
         "explain" => print(&session.explain(&text(matches, "request")).await?, output),
         _ => {}
@@ -70,7 +70,7 @@
     let key = match matches.get_one::<PathBuf>("operator-key-file") {
         Some(file) => {
             let key = std::fs::read_to_string(file);
-            let key = key.wrap_err_with(|| format!("{} can't be read", file.display()))?;
+            let key = key.wrap_err_with(|| format!("failed to read {}", file.display()))?;
             Some(key.trim().to_owned())
         }
         None => None,
@@ -89,47 +89,44 @@
         })
         .await?;
     if matches.get_flag("wait") && applied.submitted {
-        session.wait_in_force(applied.version, WAIT_LIMIT).await?;
+        session.wait_in_force(applied.version, WAIT_TIMEOUT).await?;
     }
     print(&applied, output);
     Ok(())
 }
 
-async fn get(
-    session: &Session,
-    matches: &ArgMatches,
-) -> Result<chalkrockctl::VersionedConfig, CtlError> {
+async fn get(session: &Session, matches: &ArgMatches) -> Result<chalkrockctl::Revision, CtlError> {
     match version(matches, "version") {
         Some(version) => session.version(version).await,
         None => session.current().await?.ok_or(CtlError::NoConfig),
     }
 }
 
-fn story(matches: &ArgMatches) -> eyre::Result<Story> {
+fn trace(matches: &ArgMatches) -> eyre::Result<Trace> {
     let request = text(matches, "request");
-    let story = Story::of(&request, logs(matches)?.lines());
-    some_lines(story, request)
+    let trace = Trace::for_request(&request, logs(matches)?.lines());
+    require_lines(trace, request)
 }
 
-fn rollout(matches: &ArgMatches) -> eyre::Result<Story> {
+fn rollout(matches: &ArgMatches) -> eyre::Result<Trace> {
     let pool = text(matches, "pool");
-    let story = Story::of_rollout(&pool, logs(matches)?.lines());
-    some_lines(story, pool)
+    let trace = Trace::for_rollout(&pool, logs(matches)?.lines());
+    require_lines(trace, pool)
 }
 
-fn some_lines(story: Story, asked: String) -> eyre::Result<Story> {
-    if story.is_empty() {
-        return Err(CtlError::NoMatchingLines(asked).into());
+fn require_lines(trace: Trace, subject: String) -> eyre::Result<Trace> {
+    if trace.is_empty() {
+        return Err(CtlError::NoMatchingLines(subject).into());
     }
-    Ok(story)
+    Ok(trace)
 }
 
-/// The lines of all files.
+/// Reads and joins all log files.
 fn logs(matches: &ArgMatches) -> eyre::Result<String> {
     let mut logs = String::new();
     for file in matches.get_many::<PathBuf>("logs").unwrap_or_default() {
         let log = std::fs::read(file);
-        let log = log.wrap_err_with(|| format!("{} can't be read", file.display()))?;
+        let log = log.wrap_err_with(|| format!("failed to read {}", file.display()))?;
         logs.push_str(&String::from_utf8_lossy(&log));
         logs.push('\n');
     }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,18 +1,18 @@
-//! How results are printed.
+//! Printing of results.
 
 use serde::Serialize;
 
-/// The form of the output.
+/// The output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// For people.
+    /// YAML, the default.
     #[default]
     Yaml,
-    /// For programs.
+    /// Indented JSON.
     Json,
 }
 
-/// Prints a value.
+/// Prints a value to standard output.
 pub fn print(value: &impl Serialize, output: Output) {
     let text = match output {
         Output::Yaml => serde_yaml_ng::to_string(value).map_err(|error| error.to_string()),
@@ -20,6 +20,6 @@
     };
     match text {
         Ok(text) => println!("{}", text.trim_end()),
-        Err(error) => eprintln!("the result can't be printed: {error}"),
+        Err(error) => eprintln!("failed to serialize the result: {error}"),
     }
 }
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -1,4 +1,4 @@
-//! Submitting configurations: bad files, races, history and rollback.
+//! Guards against accepted invalid files, lost changes and wrong history.
 
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 #[derive(Deserialize)]
-struct BadFile {
+struct InvalidFile {
     name: String,
     file: String,
     error: String,
@@ -42,9 +42,9 @@
 }
 
 #[tokio::test]
-async fn apply_refuses_bad_files_with_precise_errors() -> eyre::Result<()> {
+async fn apply_rejects_invalid_files_with_precise_errors() -> eyre::Result<()> {
     let (_platform, session) = start().await?;
-    let cases: Vec<BadFile> = serde_yaml_ng::from_str(include_str!("data/bad_files.yaml"))?;
+    let cases: Vec<InvalidFile> = serde_yaml_ng::from_str(include_str!("data/bad_files.yaml"))?;
     for (i, case) in cases.into_iter().enumerate() {
         let file = write(&format!("bad-{i}"), &case.file)?;
         let error = session.apply(submission(&file, None)).await.unwrap_err();
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn apply_by_the_loser_of_two_shows_both_differences() -> eyre::Result<()> {
+async fn apply_conflict_shows_both_differences() -> eyre::Result<()> {
     let (_platform, session) = start().await?;
     session
         .apply(submission(&write("base", &organisation("base"))?, None))
@@ -72,13 +72,13 @@
             Some(1),
         ))
         .await?;
-    let lost = session
+    let result = session
         .apply(submission(
             &write("yours", &organisation("yours"))?,
             Some(1),
         ))
         .await;
-    let error = lost.unwrap_err();
+    let error = result.unwrap_err();
     assert_that!(error.exit_code(), eq(3));
     let CtlError::Conflict {
         current,
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn rollback_is_a_new_version_with_old_content() -> eyre::Result<()> {
+async fn rollback_creates_a_new_version_with_the_old_content() -> eyre::Result<()> {
     let (_platform, session) = start().await?;
     session
         .apply(submission(&write("one", &organisation("one"))?, None))
@@ -129,11 +129,11 @@
         .await?;
     assert_that!(back.version, eq(ConfigVersion(3)));
     let history = session.history().await?;
-    let told: Vec<_> = history
+    let versions: Vec<_> = history
         .iter()
         .map(|h| (h.version.0, h.author.as_str()))
         .collect();
-    assert_that!(told, eq(&vec![(3, "bob"), (2, "ann"), (1, "ann")]));
+    assert_that!(versions, eq(&vec![(3, "bob"), (2, "ann"), (1, "ann")]));
     let current = session.current().await?.map(|current| current.config);
     assert_that!(
         current,
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn version_that_never_was_is_named() -> eyre::Result<()> {
+async fn unknown_version_is_named_in_the_error() -> eyre::Result<()> {
     let (_platform, session) = start().await?;
     let error = session.version(ConfigVersion(7)).await.unwrap_err();
     assert_that!(error.to_string(), contains_substring("there is no v7"));
--- a/crates/ctl/tests/story.rs
+++ b/crates/ctl/tests/trace.rs
@@ -1,6 +1,6 @@
-//! A request's story out of the lines of several hosts.
+//! Guards against traces with unrelated records or in the wrong order.
 
-use chalkrockctl::Story;
+use chalkrockctl::Trace;
 use googletest::prelude::*;
 
 const LOG: &str = r#"
@@ -17,9 +17,9 @@
 "#;
 
 #[test]
-fn story_holds_the_request_and_what_its_host_believed() {
-    let story = Story::of("r-1", LOG.lines()).to_string();
-    let lines: Vec<&str> = story.lines().collect();
+fn request_trace_includes_recent_events_of_its_host() {
+    let trace = Trace::for_request("r-1", LOG.lines()).to_string();
+    let lines: Vec<&str> = trace.lines().collect();
     assert_that!(
         lines,
         elements_are![
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn story_of_a_rollout_holds_its_stages_and_their_evidence() {
+fn rollout_trace_includes_stages_and_evidence() {
     const LOG: &str = r#"
 {"unix_ms":100,"host":"host-1","event":"rollout-order","pool":"chat","build":"v2","within_ms":12000,"is_withdrawn":false,"from":"platform"}
 {"unix_ms":3000,"host":"host-2","event":"rollout","pool":"chat","build":"v2","stage":"rolled-back","reason":"bad","evidence":{"failures":4}}
@@ -39,8 +39,8 @@
 {"unix_ms":250,"host":"host-1","event":"rollout","pool":"other","build":"v2","stage":"canary","reason":"ordered"}
 {"unix_ms":300,"host":"host-1","event":"request","id":"r-1","status":200}
 "#;
-    let story = Story::of_rollout("chat", LOG.lines()).to_string();
-    let lines: Vec<&str> = story.lines().collect();
+    let trace = Trace::for_rollout("chat", LOG.lines()).to_string();
+    let lines: Vec<&str> = trace.lines().collect();
     assert_that!(
         lines,
         elements_are![
@@ -52,6 +52,6 @@
 }
 
 #[test]
-fn story_of_a_request_that_no_one_saw_is_empty() {
-    assert_that!(Story::of("r-9", LOG.lines()).is_empty(), eq(true));
+fn trace_of_an_unknown_request_is_empty() {
+    assert_that!(Trace::for_request("r-9", LOG.lines()).is_empty(), eq(true));
 }
--- a/crates/process/src/cli.rs
+++ b/crates/process/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line that all programs share.
+//! The command line shared by all programs.
 
 use std::future::Future;
 use std::path::PathBuf;
@@ -10,17 +10,17 @@
 use crate::settings::load_settings;
 use crate::stop::{Stop, stop_on_signal, stop_pair};
 
-/// Exit code of a program that failed.
+/// Exit code for a runtime failure.
 pub const EXIT_FAILURE: u8 = 1;
-/// Exit code of a program whose settings are wrong.
+/// Exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
 
-/// A command with `--config`, `--check-config`, `--help` and `--version`.
+/// Builds a command with `--config`, `--check-config`, `--help` and `--version`.
 pub fn program(name: &'static str, about: &'static str) -> Command {
     let config = Arg::new("config")
         .long("config")
         .value_name("FILE")
-        .help("Settings, YAML")
+        .help("Settings file (YAML)")
         .value_parser(value_parser!(PathBuf))
         .required(true);
     let check = Arg::new("check-config")
@@ -34,8 +34,8 @@
         .arg(check)
 }
 
-/// Runs a program: parses the arguments, reads the settings, and awaits
-/// `body`, which ends after the stop was asked for.
+/// Parses the arguments, loads the settings and runs `body`, which returns
+/// after a stop is requested.
 pub fn run<T, F>(command: Command, body: impl FnOnce(T, Stop) -> F) -> ExitCode
 where
     T: DeserializeOwned,
@@ -55,7 +55,7 @@
     if matches.get_flag("check-config") {
         return ExitCode::SUCCESS;
     }
-    match start_runtime(settings, body) {
+    match run_on_runtime(settings, body) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error:#}");
@@ -64,7 +64,7 @@
     }
 }
 
-fn start_runtime<T, F>(settings: T, body: impl FnOnce(T, Stop) -> F) -> eyre::Result<()>
+fn run_on_runtime<T, F>(settings: T, body: impl FnOnce(T, Stop) -> F) -> eyre::Result<()>
 where
     F: Future<Output = eyre::Result<()>>,
 {
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,9 +1,8 @@
-//! Settings, logs, spans, metrics and stops shared by chalkrock's programs.
+//! Settings, logging, tracing, metrics and shutdown for chalkrock's programs.
 //!
-//! Each program is a `clap` command made by [`program`], run by [`run`]: it
-//! reads its YAML settings (or exits with code 2 and says file, line, key and
-//! what was expected), starts logs and spans, and hands the rest to the
-//! program until a stop is asked for.
+//! Each program is a `clap` command built by [`program`] and run by [`run`],
+//! which loads the YAML settings. Invalid settings end the process with exit
+//! code 2 and an error with file, line, key and expected value.
 //!
 //! # Example
 //!
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -1,6 +1,6 @@
-//! Logs by log4rs: to standard error, as text or JSON.
+//! Logging with log4rs to standard error, as text or JSON.
 //!
-//! The target of a record is the fixed prefix of its part, as `agent.config`.
+//! The target of a record names a component, such as `agent.config`.
 
 use log::LevelFilter;
 use log4rs::append::console::{ConsoleAppender, Target};
@@ -12,27 +12,27 @@
 
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {t}: {m}{n}";
 const APPENDER: &str = "stderr";
-/// Libraries that speak too much below this level.
-const QUIET: [&str; 5] = ["hyper", "tarpc", "reqwest", "opentelemetry", "h2"];
+/// Libraries whose records below `warn` are dropped.
+const NOISY_LIBRARIES: [&str; 5] = ["hyper", "tarpc", "reqwest", "opentelemetry", "h2"];
 
-/// How log records are written.
+/// The format of log records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// One line of text a record.
+    /// One line of text per record.
     #[default]
     Text,
-    /// One JSON object a record.
+    /// One JSON object per record.
     Json,
 }
 
-/// The `logs` part of the settings.
+/// The `logs` section of the settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The least level that is written.
+    /// The minimum level that is logged.
     pub level: LevelFilter,
-    /// Text or JSON.
+    /// The record format.
     pub format: LogFormat,
 }
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// Starts logs for the process. A second call changes nothing, so that parts
-/// embedded in one process may each call it.
+/// Initialises logging for the process. Later calls have no effect, so several
+/// components embedded in one process can each call it.
 pub fn start_logs(settings: &LogSettings) {
     let encoder: Box<dyn Encode> = match settings.format {
         LogFormat::Text => Box::new(PatternEncoder::new(PATTERN)),
@@ -58,7 +58,7 @@
         .build();
     let mut config =
         Config::builder().appender(Appender::builder().build(APPENDER, Box::new(appender)));
-    for name in QUIET {
+    for name in NOISY_LIBRARIES {
         config = config.logger(Logger::builder().build(name, LevelFilter::Warn));
     }
     let root = Root::builder().appender(APPENDER).build(settings.level);
--- a/crates/process/src/metrics.rs
+++ b/crates/process/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Counters and latencies in the Prometheus text format.
+//! Counters, gauges and latencies in the Prometheus text format.
 //!
-//! Latencies are kept by hdrhistogram and shown as summaries. The number of
-//! series is bounded by `SERIES_MAX` a metric: what comes later is counted
-//! under the label `other`, so that a flood of names can't fill the memory.
+//! Latencies are recorded in HDR histograms and exported as summaries. Each
+//! metric has at most `MAX_SERIES_PER_METRIC` series; further label sets are
+//! counted under the label `other`, which bounds memory.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,12 +11,11 @@
 
 use hdrhistogram::Histogram as Hdr;
 
-/// Series that one metric may have: 1,800 organisations fit.
-const SERIES_MAX: usize = 2_000;
-const OTHER: &str = "other";
+const MAX_SERIES_PER_METRIC: usize = 2_000;
+const OVERFLOW_LABEL: &str = "other";
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 1.0];
-/// Highest latency kept, in microseconds: ten minutes.
-const LATENCY_MAX_US: u64 = 600_000_000;
+/// Upper bound of recorded latencies (ten minutes); longer ones are clamped.
+const MAX_LATENCY_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// A latency histogram in microseconds.
@@ -25,23 +24,23 @@
 
 impl Default for Histogram {
     fn default() -> Self {
-        let hdr = Hdr::new_with_bounds(1, LATENCY_MAX_US, SIGNIFICANT_DIGITS);
+        let hdr = Hdr::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
         Self(hdr.expect("constant bounds are valid"))
     }
 }
 
 impl Histogram {
-    /// Adds one latency.
+    /// Records one latency.
     pub fn record(&mut self, latency: Duration) {
         self.0.saturating_record(latency.as_micros().max(1) as u64);
     }
 
-    /// The latency at a quantile, in milliseconds.
+    /// Returns the latency at a quantile, in milliseconds.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// How many latencies were added.
+    /// Returns the number of recorded latencies.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
@@ -56,7 +55,7 @@
     histograms: Series<Histogram>,
 }
 
-/// The metrics of a process. Cheap to clone.
+/// The metrics of a process; clones share the same values.
 ///
 /// # Example
 ///
@@ -69,7 +68,7 @@
 pub struct Metrics(Arc<Mutex<State>>);
 
 impl Metrics {
-    /// Adds to a counter. `labels` is as in the text format, without braces.
+    /// Increments a counter. `labels` uses the text format, without braces.
     pub fn count(&self, name: &'static str, labels: &str, by: u64) {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         *series(&mut state.counters, name, labels) += by;
@@ -81,13 +80,13 @@
         *series(&mut state.gauges, name, labels) = value;
     }
 
-    /// Adds a latency.
+    /// Records a latency.
     pub fn latency(&self, name: &'static str, labels: &str, latency: Duration) {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         series(&mut state.histograms, name, labels).record(latency);
     }
 
-    /// The value of a counter, 0 if it was never added to.
+    /// Returns the value of a counter, or 0 if it was never incremented.
     pub fn counter(&self, name: &str, labels: &str) -> u64 {
         let state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         state
@@ -98,7 +97,7 @@
             .unwrap_or(0)
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
@@ -115,14 +114,14 @@
 }
 
 fn series<'a, T: Default>(all: &'a mut Series<T>, name: &'static str, labels: &str) -> &'a mut T {
-    let of_name = all.entry(name).or_default();
-    let known = of_name.len() < SERIES_MAX || of_name.contains_key(labels);
-    let labels: Arc<str> = if known {
+    let metric = all.entry(name).or_default();
+    let is_within_limit = metric.len() < MAX_SERIES_PER_METRIC || metric.contains_key(labels);
+    let labels: Arc<str> = if is_within_limit {
         labels.into()
     } else {
-        format!("{OTHER}=\"1\"").into()
+        format!("{OVERFLOW_LABEL}=\"1\"").into()
     };
-    of_name.entry(labels).or_default()
+    metric.entry(labels).or_default()
 }
 
 fn render_values<T: std::fmt::Display>(text: &mut String, kind: &str, all: &Series<T>) {
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -1,29 +1,29 @@
-//! Settings files: YAML, checked, with errors that say where and what.
+//! YAML settings files, with errors that locate the invalid key.
 
 use std::fmt;
 use std::path::Path;
 
 use serde::de::DeserializeOwned;
 
-/// Why a settings file was not accepted.
+/// Why a settings file was rejected.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// Reading the file failed.
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The cause.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is not what the program expects.
+    /// The content is not valid.
     Invalid {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// The path of the key, as `logs.level`.
+        /// The path of the key, such as `logs.level`.
         key: String,
-        /// What was found and what was expected.
+        /// What is wrong and what is expected.
         expected: String,
     },
 }
@@ -46,11 +46,11 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads a program's settings from a file.
+/// Loads settings from a file.
 ///
 /// # Errors
 ///
-/// If the file can't be read or is not valid; see [`SettingsError`].
+/// Returns [`SettingsError`] if the file is unreadable or not valid.
 pub fn load_settings<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -59,17 +59,17 @@
     }
 }
 
-/// Reads settings from text; `file` is named in errors.
+/// Parses settings from text; errors name `file` as the source.
 ///
 /// # Errors
 ///
-/// If the text is not valid; see [`SettingsError`].
+/// Returns [`SettingsError`] if the text is not valid.
 pub fn parse_settings<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, SettingsError> {
     let parser = serde_yaml_ng::Deserializer::from_str(text);
     serde_path_to_error::deserialize(parser).map_err(|error| {
         let path = error.path().to_string();
         let cause = error.into_inner();
-        let line = cause.location().map_or(1, |place| place.line());
+        let line = cause.location().map_or(1, |location| location.line());
         SettingsError::Invalid {
             file: file.to_owned(),
             line: key_line(text, &path).unwrap_or(line),
@@ -78,35 +78,34 @@
             } else {
                 path
             },
-            expected: without_place(&cause.to_string()),
+            expected: strip_location(&cause.to_string()),
         }
     })
 }
 
-/// The line of the last key of a path. The YAML library reports a wrong
-/// value at the place where its enclosing mapping starts, so we look the key
-/// up below the keys that enclose it.
+/// Finds the line of the last key of a path in the text, because the YAML
+/// library reports only the start of the enclosing mapping.
 fn key_line(text: &str, path: &str) -> Option<usize> {
     let mut found = None;
-    let mut from = 0;
+    let mut next_line = 0;
     for key in path
         .split('.')
         .map(|part| part.split('[').next().unwrap_or(part))
     {
         let prefix = format!("{key}:");
-        let rest = text.lines().enumerate().skip(from);
-        let hit = rest
+        let rest = text.lines().enumerate().skip(next_line);
+        let matching = rest
             .map(|(i, line)| (i, line.trim_start().trim_start_matches("- ")))
             .find(|(_, line)| line.starts_with(&prefix));
-        let (i, _) = hit?;
+        let (i, _) = matching?;
         found = Some(i + 1);
-        from = i + 1;
+        next_line = i + 1;
     }
     found
 }
 
-/// The message without the library's own ` at line …` and leading path.
-fn without_place(message: &str) -> String {
+/// Removes the library's ` at line …` suffix and leading key path.
+fn strip_location(message: &str) -> String {
     let end = message.rfind(" at line ").unwrap_or(message.len());
     let message = &message[..end];
     match message.split_once(": ") {
--- a/crates/process/src/spans.rs
+++ b/crates/process/src/spans.rs
@@ -1,5 +1,5 @@
-//! A span for each hop, joined by `traceparent` over HTTP and by tarpc's own
-//! context between our processes, exported as OTLP over HTTP if set.
+//! Distributed tracing: context propagation with `traceparent` over HTTP and
+//! tarpc's context between processes, and optional OTLP export over HTTP.
 
 use std::sync::Once;
 
@@ -16,18 +16,18 @@
 use tracing_opentelemetry::OpenTelemetrySpanExt;
 use tracing_subscriber::layer::SubscriberExt;
 
-/// The `spans` part of the settings.
+/// The `spans` section of the settings.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpanSettings {
-    /// Where OTLP over HTTP is sent, as `http://127.0.0.1:4318/v1/traces`.
+    /// The OTLP collector, such as `http://127.0.0.1:4318/v1/traces`.
     pub otlp_url: Option<String>,
 }
 
 static STARTED: Once = Once::new();
 
-/// Starts spans for the process. Without a collector they still carry their
-/// ids from hop to hop, and the explanation of a request shows them.
+/// Initialises tracing for the process. Without a collector, trace ids are
+/// still propagated and appear in the explanation of a request.
 pub fn start_spans(program: &'static str, settings: &SpanSettings) {
     STARTED.call_once(|| {
         let resource = Resource::builder().with_service_name(program).build();
@@ -41,7 +41,7 @@
                 .build()
             {
                 Ok(exporter) => builder = builder.with_batch_exporter(exporter),
-                Err(error) => log::warn!(target: "spans", "No export: {error}."),
+                Err(error) => log::warn!(target: "spans", "Span export is disabled: {error}."),
             }
         }
         let tracer = builder.build().tracer(program);
@@ -51,9 +51,9 @@
     });
 }
 
-struct Reader<'a>(&'a HeaderMap);
+struct HeaderExtractor<'a>(&'a HeaderMap);
 
-impl Extractor for Reader<'_> {
+impl Extractor for HeaderExtractor<'_> {
     fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).and_then(|value| value.to_str().ok())
     }
@@ -63,9 +63,9 @@
     }
 }
 
-struct Writer<'a>(&'a mut HeaderMap);
+struct HeaderInjector<'a>(&'a mut HeaderMap);
 
-impl Injector for Writer<'_> {
+impl Injector for HeaderInjector<'_> {
     fn set(&mut self, key: &str, value: String) {
         let name = HeaderName::try_from(key);
         let value = HeaderValue::try_from(value);
@@ -75,18 +75,18 @@
     }
 }
 
-/// Makes the span named in `traceparent`, if any, the parent of `span`.
+/// Sets the parent of `span` from the `traceparent` header, if present.
 pub fn set_remote_parent(span: &Span, headers: &HeaderMap) {
-    let parent = TraceContextPropagator::new().extract(&Reader(headers));
-    let _not_recorded = span.set_parent(parent);
+    let parent = TraceContextPropagator::new().extract(&HeaderExtractor(headers));
+    let _not_set = span.set_parent(parent);
 }
 
-/// Writes `traceparent` of `span` into the headers of an outgoing call.
+/// Sets the `traceparent` header of an outgoing request from `span`.
 pub fn inject_trace_context(span: &Span, headers: &mut HeaderMap) {
-    TraceContextPropagator::new().inject_context(&span.context(), &mut Writer(headers));
+    TraceContextPropagator::new().inject_context(&span.context(), &mut HeaderInjector(headers));
 }
 
-/// The trace id of a span, 32 hexadecimal digits.
+/// Returns the trace id of a span as 32 hexadecimal digits.
 pub fn trace_id(span: &Span) -> String {
     span.context().span().span_context().trace_id().to_string()
 }
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/stop.rs
@@ -1,43 +1,43 @@
-//! A clean stop: asked for once, seen by every part.
+//! Graceful shutdown: a stop request that all components observe.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// Sees a stop that was asked for. Cheap to clone.
+/// Observes a stop request; clones observe the same one.
 #[derive(Clone, Debug)]
 pub struct Stop(watch::Receiver<bool>);
 
-/// Asks for a stop.
+/// Requests a stop.
 #[derive(Debug)]
 pub struct StopHandle(watch::Sender<bool>);
 
-/// A handle and what sees it.
+/// Creates a handle and its observer.
 pub fn stop_pair() -> (StopHandle, Stop) {
     let (tx, rx) = watch::channel(false);
     (StopHandle(tx), Stop(rx))
 }
 
 impl StopHandle {
-    /// Asks every part to stop.
+    /// Requests that all observers stop.
     pub fn stop(&self) {
         self.0.send_replace(true);
     }
 }
 
 impl Stop {
-    /// Whether a stop was asked for.
+    /// Returns whether a stop was requested.
     pub fn is_requested(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// Waits until a stop is asked for. A handle that is gone asks too.
+    /// Waits for a stop request; dropping the handle counts as one.
     pub async fn requested(&self) {
         let mut rx = self.0.clone();
-        let _handle_gone = rx.wait_for(|requested| *requested).await;
+        let _handle_dropped = rx.wait_for(|requested| *requested).await;
     }
 }
 
-/// Asks for a stop at the first SIGTERM or SIGINT.
+/// Requests a stop on the first SIGTERM or SIGINT.
 pub fn stop_on_signal(handle: StopHandle) {
     tokio::spawn(async move {
         let terminate = signal(SignalKind::terminate());
@@ -48,11 +48,11 @@
                     _ = terminate.recv() => {}
                     _ = interrupt.recv() => {}
                 }
-                log::info!(target: "process", "Stop asked by signal.");
+                log::info!(target: "process", "Received SIGTERM or SIGINT, stopping.");
                 handle.stop();
             }
             (Err(error), _) | (_, Err(error)) => {
-                log::error!(target: "process", "No signals: {error}.");
+                log::error!(target: "process", "Failed to install signal handlers: {error}.");
                 std::future::pending::<()>().await;
             }
         }
--- a/crates/process/tests/settings.rs
+++ b/crates/process/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files that are not valid, and what is said of them.
+//! Guards against settings errors that name the wrong line or key.
 
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn parse_names_file_line_key_and_expectation() {
+fn parse_error_names_file_line_key_and_expected_value() {
     let text = include_str!("data/bad_settings.yaml");
     let cases: Vec<Case> = serde_yaml_ng::from_str(text).unwrap();
     for case in cases {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn parse_takes_what_is_valid() {
+fn parse_accepts_valid_settings() {
     let text = "listen: 127.0.0.1:80\nzone: a\nlimits: {drain_ms: 5}\n";
     let settings = parse_settings::<Settings>("s.yaml", text).unwrap();
     assert_that!(settings.listen.port(), eq(80));
