--- a/crates/platform/src/config_store.rs
+++ b/crates/platform/src/config_store.rs
@@ -1,10 +1,10 @@
-//! The versioned configuration in the platform: one head row, one object a
-//! version.
+//! The versioned configuration in the platform: one head row, and objects for
+//! each version.
 //!
-//! A submission writes the body as an object of its own first, then moves the
-//! head row by compare-and-set. A write whose answer was lost is settled by
-//! reading the head back and looking for the change's id. Each head names the
-//! change before it, so that a later head still proves an earlier change.
+//! A submission writes the document as an immutable object, then updates the
+//! head row by compare-and-set. If the response is lost, the head is read back
+//! and searched for the id of the change. Each head lists earlier changes, so
+//! that a change is still found after others have followed.
 
 use chalkrock_core::{ChangeId, ConfigVersion, FleetConfig};
 use serde::{Deserialize, Serialize};
@@ -14,30 +14,30 @@
 
 /// The key of the head row.
 const HEAD_KEY: &str = "config-head";
-/// How often an unanswered write is settled by reading back.
-const SETTLE_TRIES: u32 = 5;
-/// Changes that a head remembers, enough for any two operators to race.
-const REMEMBERED_CHANGES: usize = 32;
+/// Attempts to determine the outcome of a write whose response was lost.
+const MAX_READ_BACK_ATTEMPTS: u32 = 5;
+/// Earlier changes that a head lists.
+const MAX_EARLIER_CHANGES: usize = 32;
 
-/// The head row: which version is in force, and how it came.
+/// The head row: the version in force and the change that created it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigHead {
     /// The version in force.
     pub version: ConfigVersion,
-    /// The change that made it.
+    /// The change that created it.
     pub change: ChangeId,
-    /// Who submitted it.
+    /// The author of the change.
     pub author: String,
-    /// Why.
+    /// The reason for the change.
     pub reason: String,
-    /// When, in milliseconds of Unix time by the author's clock.
+    /// Submission time, in Unix milliseconds by the author's clock.
     pub submitted_at_ms: u64,
-    /// Changes before it, newest first.
+    /// Earlier changes, newest first.
     pub earlier: Vec<ChangeId>,
 }
 
 impl ConfigHead {
-    /// The key of the object that holds the document.
+    /// Returns the key of the object that holds the document.
     pub fn object_key(&self) -> String {
         format!("config-{}-{}", self.version.0, self.change)
     }
@@ -47,47 +47,47 @@
     }
 }
 
-/// Why a submission was not accepted.
+/// Why a submission failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmitError {
-    /// The document is wrong.
+    /// The document fails validation.
     #[error(transparent)]
     Invalid(#[from] chalkrock_core::Error),
-    /// Another change came first; nothing was changed.
+    /// Another change was made first; nothing was changed.
     #[error("the configuration is at another version: {0:?}")]
     Conflict(Option<ConfigHead>),
-    /// The platform failed, and nothing was changed.
+    /// The platform failed; nothing was changed.
     #[error("nothing was changed: {0}")]
     Platform(#[source] PlatformError),
-    /// The platform failed, and reading back did not settle it.
-    #[error("the change may have been accepted, read it back later: {0}")]
+    /// The platform failed, and the outcome could not be determined.
+    #[error("the change may have been accepted, check the configuration later: {0}")]
     OutcomeUnknown(#[source] PlatformError),
-    /// The head row can't be read.
-    #[error("the head row can't be read: {0}")]
-    Malformed(String),
+    /// Serializing the document or the head row failed.
+    #[error("failed to serialize the configuration: {0}")]
+    Serialization(String),
 }
 
-/// Who changes the configuration, and why.
+/// The metadata of a change.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The id of the change, unique.
+    /// The unique id of the change.
     pub id: ChangeId,
-    /// Its author.
+    /// The author.
     pub author: String,
-    /// Its reason.
+    /// The reason.
     pub reason: String,
-    /// When, in milliseconds of Unix time.
+    /// Submission time, in Unix milliseconds.
     pub submitted_at_ms: u64,
 }
 
-/// The configuration in the platform.
+/// Reads and updates the configuration in the platform.
 #[derive(Clone, Debug)]
 pub struct ConfigStore<P> {
     platform: P,
 }
 
 impl<P: Platform> ConfigStore<P> {
-    /// A store over a platform.
+    /// Creates a store on a platform.
     pub fn new(platform: P) -> Self {
         Self { platform }
     }
@@ -96,17 +96,17 @@
     ///
     /// # Errors
     ///
-    /// If the platform fails or the row can't be read.
+    /// Returns an error if the platform fails or the row is malformed.
     pub async fn read_head(&self) -> Result<Option<ConfigHead>, PlatformError> {
         let row = self.platform.read_row(HEAD_KEY).await?;
         row.map(|row| parse_head(&row)).transpose()
     }
 
-    /// Reads the document of a head, as JSON text.
+    /// Reads the document of a head as JSON text.
     ///
     /// # Errors
     ///
-    /// If the platform fails or the object is missing.
+    /// Returns an error if the platform fails or the object is missing.
     pub async fn read_body(&self, head: &ConfigHead) -> Result<String, PlatformError> {
         let key = head.object_key();
         let body = self.platform.read_object(&key).await?;
@@ -117,18 +117,18 @@
     ///
     /// # Errors
     ///
-    /// If the platform fails, or the document is missing or can't be read.
+    /// Returns an error if the platform fails or the document is missing or malformed.
     pub async fn read_config(&self, head: &ConfigHead) -> Result<FleetConfig, PlatformError> {
         let body = self.read_body(head).await?;
         serde_json::from_str(&body).map_err(|e| PlatformError::Malformed(e.to_string()))
     }
 
-    /// The heads that were in force, newest first, as far as the newest one
-    /// remembers.
+    /// Reads the heads that were in force, newest first, for the changes that the
+    /// current head lists.
     ///
     /// # Errors
     ///
-    /// If the platform fails, or a head is missing.
+    /// Returns an error if the platform fails or a record is missing or malformed.
     pub async fn read_history(&self) -> Result<Vec<ConfigHead>, PlatformError> {
         let Some(newest) = self.read_head().await? else {
             return Ok(Vec::new());
@@ -146,11 +146,11 @@
         Ok(history)
     }
 
-    /// Submits a document in place of version `expect` (0 for the first).
+    /// Submits a document to replace version `expect` (0 if there is none).
     ///
     /// # Errors
     ///
-    /// See [`SubmitError`]: each says whether anything was changed.
+    /// Returns [`SubmitError`], whose variants state whether anything was changed.
     pub async fn submit(
         &self,
         config: &FleetConfig,
@@ -176,24 +176,23 @@
         }
         let head = next_head(current, expect, change);
         let body =
-            serde_json::to_string(config).map_err(|e| SubmitError::Malformed(e.to_string()))?;
+            serde_json::to_string(config).map_err(|e| SubmitError::Serialization(e.to_string()))?;
         let record = ConfigHead {
             earlier: Vec::new(),
             ..head.clone()
         };
         let record = serde_json::to_string(&record);
-        let record = record.map_err(|e| SubmitError::Malformed(e.to_string()))?;
+        let record = record.map_err(|e| SubmitError::Serialization(e.to_string()))?;
         let record_key = record_key(head.version, &head.change);
         for (key, text) in [(head.object_key(), body), (record_key, record)] {
             self.write_object(&key, text)
                 .await
                 .map_err(SubmitError::Platform)?;
         }
-        self.move_head(head, row.map(|row| row.version)).await
+        self.write_head(head, row.map(|row| row.version)).await
     }
 
-    /// Writes an object that never changes. An unanswered write is settled by
-    /// reading it back.
+    /// Writes an immutable object, and reads it back if the response was lost.
     async fn write_object(&self, key: &str, text: String) -> Result<(), PlatformError> {
         match self.platform.write_object(key, text.clone()).await {
             Err(error) if error.may_have_taken_effect() => {
@@ -202,28 +201,28 @@
                     _ => Err(error),
                 }
             }
-            written => written,
+            result => result,
         }
     }
 
-    async fn move_head(
+    async fn write_head(
         &self,
         head: ConfigHead,
-        from: Option<RowVersion>,
+        replaces: Option<RowVersion>,
     ) -> Result<ConfigHead, SubmitError> {
         let value =
-            serde_json::to_string(&head).map_err(|e| SubmitError::Malformed(e.to_string()))?;
-        let expect = from.map_or(Expect::Absent, Expect::Version);
+            serde_json::to_string(&head).map_err(|e| SubmitError::Serialization(e.to_string()))?;
+        let expect = replaces.map_or(Expect::Absent, Expect::Version);
         match self.platform.write_row(HEAD_KEY, &value, expect).await {
             Ok(_) => Ok(head),
-            Err(PlatformError::Conflict(row)) => self.settle(head, row),
-            Err(error) if error.may_have_taken_effect() => self.read_back(head, error).await,
+            Err(PlatformError::Conflict(row)) => self.outcome(head, row),
+            Err(error) if error.may_have_taken_effect() => self.resolve_outcome(head, error).await,
             Err(error) => Err(SubmitError::Platform(error)),
         }
     }
 
-    /// Settles a submission by the row that now stands.
-    fn settle(&self, head: ConfigHead, row: Option<Row>) -> Result<ConfigHead, SubmitError> {
+    /// Determines the outcome of a submission from the current row.
+    fn outcome(&self, head: ConfigHead, row: Option<Row>) -> Result<ConfigHead, SubmitError> {
         let current = row
             .as_ref()
             .map(parse_head)
@@ -235,15 +234,15 @@
         }
     }
 
-    /// Settles an unanswered write. A row that has not moved proves nothing
-    /// yet: the write may still be under way. It is settled by writing again
-    /// under the same condition, of which only one can succeed.
-    async fn read_back(
+    /// Determines the outcome of a write whose response was lost. If the row is
+    /// unchanged, the write may still be in flight, so it is repeated on the same
+    /// condition: at most one of them succeeds.
+    async fn resolve_outcome(
         &self,
         head: ConfigHead,
         mut error: PlatformError,
     ) -> Result<ConfigHead, SubmitError> {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..MAX_READ_BACK_ATTEMPTS {
             let row = match self.platform.read_row(HEAD_KEY).await {
                 Ok(row) => row,
                 Err(e) => {
@@ -253,16 +252,16 @@
             };
             let current = row.as_ref().map(parse_head).transpose();
             let current = current.map_err(SubmitError::Platform)?;
-            let before = ConfigVersion(head.version.0 - 1);
-            if current.as_ref().map_or(ConfigVersion(0), |c| c.version) != before {
-                return self.settle(head, row);
+            let previous = ConfigVersion(head.version.0 - 1);
+            if current.as_ref().map_or(ConfigVersion(0), |c| c.version) != previous {
+                return self.outcome(head, row);
             }
             let value = serde_json::to_string(&head);
-            let value = value.map_err(|e| SubmitError::Malformed(e.to_string()))?;
+            let value = value.map_err(|e| SubmitError::Serialization(e.to_string()))?;
             let expect = row.map_or(Expect::Absent, |row| Expect::Version(row.version));
             match self.platform.write_row(HEAD_KEY, &value, expect).await {
                 Ok(_) => return Ok(head),
-                Err(PlatformError::Conflict(row)) => return self.settle(head, row),
+                Err(PlatformError::Conflict(row)) => return self.outcome(head, row),
                 Err(e) => error = e,
             }
         }
@@ -270,7 +269,7 @@
     }
 }
 
-/// The object that tells of a change after its head was replaced.
+/// Returns the key of the object that records a change after its head is replaced.
 fn record_key(version: ConfigVersion, change: &ChangeId) -> String {
     format!("change-{}-{change}", version.0)
 }
@@ -284,7 +283,7 @@
     if let Some(current) = current {
         earlier.push(current.change);
         earlier.extend(current.earlier);
-        earlier.truncate(REMEMBERED_CHANGES);
+        earlier.truncate(MAX_EARLIER_CHANGES);
     }
     ConfigHead {
         version: expect.next(),
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,38 +1,38 @@
-//! The error of the platform's edge.
+//! Errors of the platform client.
 
 use crate::table::Row;
 
-/// Why a call to the platform did not succeed.
+/// Why a request to the platform failed.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum PlatformError {
-    /// The call certainly had no effect: the platform was not reached, or
-    /// said so.
+    /// The request had no effect: the platform was unreachable or rejected it as
+    /// unavailable.
     #[error("platform unavailable: {0}")]
     Unavailable(String),
-    /// The answer was lost: a write may have taken effect.
-    #[error("platform did not answer, the call may have taken effect: {0}")]
-    Unanswered(String),
-    /// The row is not as expected; nothing was written.
-    #[error("row changed meanwhile")]
+    /// The response was lost or is an error; a write may have taken effect.
+    #[error("platform request failed and may have taken effect: {0}")]
+    OutcomeUnknown(String),
+    /// The row does not match the condition; nothing was written.
+    #[error("the row was changed by another write")]
     Conflict(Option<Row>),
-    /// The platform's limit per second was reached; nothing was written.
-    #[error("platform limit reached")]
+    /// The platform's rate limit was exceeded; nothing was written.
+    #[error("platform rate limit exceeded")]
     Throttled,
-    /// The platform's answer can't be read.
-    #[error("platform sent an answer that can't be read: {0}")]
+    /// The platform's response or stored data can't be parsed.
+    #[error("malformed data from the platform: {0}")]
     Malformed(String),
-    /// The platform's address is not a URL.
-    #[error("platform address is not a URL: {0}")]
+    /// The platform's address is not a valid URL.
+    #[error("invalid platform URL: {0}")]
     InvalidUrl(String),
 }
 
 impl PlatformError {
-    /// Whether a write that ended so may have taken effect.
+    /// Returns whether a write that failed with this error may have taken effect.
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(
             self,
-            PlatformError::Unanswered(_) | PlatformError::Malformed(_)
+            PlatformError::OutcomeUnknown(_) | PlatformError::Malformed(_)
         )
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, with conditional requests for the table.
+//! The HTTP client of the platform; table writes are conditional requests.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use crate::error::PlatformError;
 use crate::table::{Expect, Platform, Row, RowVersion, RowWrite, TaggedHosts, WriteResult};
 
-/// How long one call may take before its answer counts as lost.
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// After this, the response counts as lost.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The platform's HTTP client.
+/// An HTTP client of the platform.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     base: Url,
@@ -20,47 +20,47 @@
 }
 
 impl HttpPlatform {
-    /// A client of the platform at a base URL.
+    /// Creates a client of the platform at a base URL.
     ///
     /// # Errors
     ///
-    /// If the address is not a URL.
+    /// Returns an error if `base` is not a URL or the client can't be built.
     pub fn new(base: &str) -> Result<Self, PlatformError> {
-        let bad = || PlatformError::InvalidUrl(base.to_owned());
-        let base = Url::parse(base).map_err(|_| bad())?;
+        let invalid = || PlatformError::InvalidUrl(base.to_owned());
+        let base = Url::parse(base).map_err(|_| invalid())?;
         if base.cannot_be_a_base() {
-            return Err(bad());
+            return Err(invalid());
         }
         let client = Client::builder()
-            .timeout(CALL_TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .build()
             .map_err(|e| PlatformError::Unavailable(e.to_string()))?;
         Ok(Self { base, client })
     }
 
-    fn url(&self, parts: &[&str]) -> Url {
+    fn url(&self, segments: &[&str]) -> Url {
         let mut url = self.base.clone();
         if let Ok(mut path) = url.path_segments_mut() {
-            path.pop_if_empty().push("v1").extend(parts);
+            path.pop_if_empty().push("v1").extend(segments);
         }
         url
     }
 }
 
-/// Sorts a transport failure: a connection that never stood carried nothing.
+/// Classifies a transport error: without a connection, nothing was sent.
 fn transport_error(error: reqwest::Error) -> PlatformError {
     if error.is_connect() || error.is_builder() {
         return PlatformError::Unavailable(error.to_string());
     }
-    PlatformError::Unanswered(error.to_string())
+    PlatformError::OutcomeUnknown(error.to_string())
 }
 
-/// Sorts an answer that is neither success nor one the call knows.
+/// Classifies a status that the request does not handle itself.
 fn status_error(status: StatusCode) -> PlatformError {
     match status {
         StatusCode::TOO_MANY_REQUESTS => PlatformError::Throttled,
         StatusCode::SERVICE_UNAVAILABLE => PlatformError::Unavailable(status.to_string()),
-        _ => PlatformError::Unanswered(status.to_string()),
+        _ => PlatformError::OutcomeUnknown(status.to_string()),
     }
 }
 
@@ -146,9 +146,9 @@
         }
     }
 
-    async fn read_hosts(&self, known: Option<&str>) -> Result<Option<TaggedHosts>, PlatformError> {
+    async fn read_hosts(&self, etag: Option<&str>) -> Result<Option<TaggedHosts>, PlatformError> {
         let mut request = self.client.get(self.url(&["hosts"]));
-        if let Some(tag) = known {
+        if let Some(tag) = etag {
             request = request.header(IF_NONE_MATCH, tag);
         }
         let response = request.send().await.map_err(transport_error)?;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The edge to the platform: tables, objects, hosts and weights.
+//! The client of the platform: its table, object store and host list.
 //!
-//! What must be agreed or kept goes through the platform's transactional
-//! table and its object store. [`Platform`] is the one trait at this edge and
-//! [`HttpPlatform`] its client; rows are guarded by HTTP's own conditional
-//! requests (RFC 9110 section 13), objects are written once and never change.
+//! Shared and durable state is kept in the platform's transactional table and
+//! its object store. [`Platform`] is the interface and [`HttpPlatform`] its HTTP
+//! client. Rows are written with conditional requests (RFC 9110 section 13);
+//! objects are immutable.
 //!
 //! # Example
 //!
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -1,4 +1,4 @@
-//! The trait at the platform's edge and the shapes that cross it.
+//! The interface of the platform and its types.
 
 use std::future::Future;
 
@@ -7,7 +7,7 @@
 
 use crate::error::PlatformError;
 
-/// The version of a row, set by the table at each write.
+/// The version of a row, assigned by the table on each write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RowVersion(pub u64);
@@ -15,53 +15,53 @@
 /// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its version.
+    /// The version.
     pub version: RowVersion,
-    /// Its value, JSON text by convention.
+    /// The value, JSON text by convention.
     pub value: String,
 }
 
-/// What a write expects to find.
+/// The condition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Expect {
-    /// No row under the key.
+    /// The key has no row.
     Absent,
-    /// The row at this version.
+    /// The row has this version.
     Version(RowVersion),
 }
 
-/// One write of a batch.
+/// One conditional write of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowWrite {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// Its new value.
+    /// The new value.
     pub value: String,
-    /// What it replaces.
+    /// The condition.
     pub expect: Expect,
 }
 
-/// What became of one write of a batch: written, or the row in its way.
+/// The result of one write of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WriteResult {
-    /// Written.
+    /// Written at this version.
     Written(RowVersion),
-    /// Not written: the row is as given.
+    /// Not written; holds the current row.
     Conflict(Option<Row>),
 }
 
-/// A host list with the tag that names this state of it.
+/// A host list with its entity tag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaggedHosts {
-    /// The list.
+    /// The host list.
     pub list: HostList,
-    /// Its tag, if the platform gives one.
+    /// The entity tag, if the platform sends one.
     pub tag: Option<String>,
 }
 
-/// The platform as chalkrock needs it.
+/// The operations of the platform that chalkrock uses.
 pub trait Platform: Send + Sync + 'static {
     /// Reads a row.
     fn read_row(
@@ -69,7 +69,7 @@
         key: &str,
     ) -> impl Future<Output = Result<Option<Row>, PlatformError>> + Send;
 
-    /// Writes a row if it is as expected.
+    /// Writes a row if it matches the condition.
     fn write_row(
         &self,
         key: &str,
@@ -77,7 +77,7 @@
         expect: Expect,
     ) -> impl Future<Output = Result<RowVersion, PlatformError>> + Send;
 
-    /// Writes rows, each on its own condition, as one write of the table.
+    /// Writes rows, each on its own condition, in one request.
     fn write_batch(
         &self,
         writes: Vec<RowWrite>,
@@ -96,12 +96,10 @@
         body: String,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Reads the lagging list of hosts and endpoints; `None` if it is still
-    /// the one with the tag `known`. At 370 hosts and 690 engines the list is
-    /// 136 KB, and reading it anew each second would cost a host 27 times its
-    /// budget.
+    /// Reads the list of hosts and endpoints, which may lag; `None` if its entity
+    /// tag is still `etag`.
     fn read_hosts(
         &self,
-        known: Option<&str>,
+        etag: Option<&str>,
     ) -> impl Future<Output = Result<Option<TaggedHosts>, PlatformError>> + Send;
 }
--- a/crates/platform/tests/contract.rs
+++ b/crates/platform/tests/contract.rs
@@ -1,5 +1,5 @@
-//! The contract of the platform's edge: the client against the stand-in,
-//! with fault cases in a table.
+//! Guards against writes that ignore their condition, and against wrong
+//! conclusions from failed requests.
 
 use chalkrock_core::{ChangeId, ConfigVersion, FleetConfig, Host, HostState, Incarnation};
 use chalkrock_platform::{
@@ -27,19 +27,19 @@
 }
 
 #[tokio::test]
-async fn write_row_is_guarded_by_its_expectation() {
+async fn write_row_succeeds_only_on_its_condition() {
     let (_standin, client) = start().await;
-    let first = client.write_row("k", "a", Expect::Absent).await.unwrap();
-    let again = client.write_row("k", "b", Expect::Absent).await;
+    let version = client.write_row("k", "a", Expect::Absent).await.unwrap();
+    let duplicate = client.write_row("k", "b", Expect::Absent).await;
     assert_that!(
-        again,
+        duplicate,
         err(matches_pattern!(PlatformError::Conflict(some(anything()))))
     );
     client
-        .write_row("k", "b", Expect::Version(first))
+        .write_row("k", "b", Expect::Version(version))
         .await
         .unwrap();
-    let stale = client.write_row("k", "c", Expect::Version(first)).await;
+    let stale = client.write_row("k", "c", Expect::Version(version)).await;
     assert_that!(
         stale,
         err(matches_pattern!(PlatformError::Conflict(some(anything()))))
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn write_batch_answers_each_row() {
+async fn write_batch_returns_a_result_for_each_row() {
     let (_standin, client) = start().await;
     let write = |key: &str| RowWrite {
         key: key.to_owned(),
@@ -57,22 +57,22 @@
         expect: Expect::Absent,
     };
     client.write_batch(vec![write("a")]).await.unwrap();
-    let answers = client
+    let results = client
         .write_batch(vec![write("a"), write("b")])
         .await
         .unwrap();
     assert_that!(
-        answers[0],
+        results[0],
         matches_pattern!(WriteResult::Conflict(some(anything())))
     );
     assert_that!(
-        answers[1],
+        results[1],
         matches_pattern!(WriteResult::Written(anything()))
     );
 }
 
 #[tokio::test]
-async fn faults_are_sorted_by_what_they_prove() {
+async fn faults_are_classified_by_whether_a_write_may_have_taken_effect() {
     let cases = [
         (
             "down",
@@ -93,22 +93,22 @@
             true,
         ),
     ];
-    for (name, faults, may_have, did) in cases {
+    for (name, faults, possible, written) in cases {
         let (standin, client) = start().await;
         standin.faults.set(faults);
         let error = client
             .write_row("k", "a", Expect::Absent)
             .await
             .unwrap_err();
-        assert_that!(error.may_have_taken_effect(), eq(may_have), "{name}");
+        assert_that!(error.may_have_taken_effect(), eq(possible), "{name}");
         standin.faults.set(Faults::default());
         let row = client.read_row("k").await.unwrap();
-        assert_that!(row.is_some(), eq(did), "{name}");
+        assert_that!(row.is_some(), eq(written), "{name}");
     }
 }
 
 #[tokio::test]
-async fn nobody_listening_proves_that_nothing_was_written() {
+async fn refused_connection_means_that_nothing_was_written() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn limit_per_second_is_told() {
+async fn writes_above_the_rate_limit_are_throttled() {
     let settings = PlatformSettings {
         writes_per_second: 2,
         ..Default::default()
@@ -130,16 +130,16 @@
     let client = HttpPlatform::new(&standin.url()).unwrap();
     let mut throttled = 0;
     for i in 0..5 {
-        let written = client
+        let result = client
             .write_row(&format!("k{i}"), "a", Expect::Absent)
             .await;
-        throttled += u32::from(matches!(written, Err(PlatformError::Throttled)));
+        throttled += u32::from(matches!(result, Err(PlatformError::Throttled)));
     }
     assert_that!(throttled, ge(1));
 }
 
 #[tokio::test]
-async fn submit_settles_a_lost_answer() {
+async fn submit_succeeds_when_a_response_is_lost() {
     let (standin, client) = start().await;
     let store = ConfigStore::new(client);
     standin.faults.set(Faults {
@@ -151,12 +151,12 @@
         .await;
     assert_that!(head.unwrap().version, eq(ConfigVersion(1)));
     standin.faults.set(Faults::default());
-    let found = store.read_head().await.unwrap().unwrap();
-    assert_that!(found.change, eq(&ChangeId::new("c1")));
+    let current = store.read_head().await.unwrap().unwrap();
+    assert_that!(current.change, eq(&ChangeId::new("c1")));
 }
 
 #[tokio::test]
-async fn submit_by_two_at_once_has_one_winner() {
+async fn concurrent_submits_have_one_winner() {
     let (_standin, client) = start().await;
     let store = ConfigStore::new(client);
     let config = FleetConfig::default();
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn hosts_are_sent_again_only_when_they_changed() {
+async fn unchanged_host_list_is_not_sent_again() {
     let (standin, client) = start().await;
     let first = client.read_hosts(None).await.unwrap().unwrap();
     assert_that!(
