--- a/crates/e2e/tests/peers.rs
+++ b/crates/e2e/tests/peers.rs
@@ -62,7 +62,7 @@
     ];
     for (why, hello, expected) in cases {
         match connect(address, hello, Arc::new(ByteCounter::default())).await {
-            Err(ConnectError::Refused { source, .. }) => assert_that!(source, eq(expected)),
+            Err(ConnectError::Rejected { source, .. }) => assert_that!(source, eq(expected)),
             other => panic!("{why}: not refused: {:?}", other.err()),
         }
         assert_that!(refused(&cluster, why).await, eq(1));
--- a/crates/proto/src/transport.rs
+++ b/crates/proto/src/transport.rs
@@ -1,4 +1,4 @@
-//! How the services travel: bincode frames over counted TCP streams.
+//! The transport of the services: bincode frames over counted TCP streams.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,47 +14,46 @@
 use crate::agent_api::{AgentApiClient, Hello, PeerError};
 use crate::counted::{ByteCounter, CountedStream};
 
-/// The largest frame that is read. A configuration of 1,800 organisations is
-/// some 400 KB; a peer that sends more is cut off before it is buffered.
+/// Larger frames are rejected before they are buffered, which bounds memory.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
-/// How long a connection and its hello may take.
+/// Limit for connecting and the handshake together.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a connection to an agent could not be opened.
+/// Why connecting to an agent failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The address did not answer.
-    #[error("agent {address} does not answer: {source}")]
+    /// The TCP connection failed.
+    #[error("failed to connect to agent {address}: {source}")]
     Io {
-        /// The agent's address.
+        /// The address of the agent.
         address: SocketAddr,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The connection broke or timed out during the hello.
-    #[error("agent {address} did not finish the hello")]
-    NoHello {
-        /// The agent's address.
+    /// Connecting timed out, or the connection failed during the handshake.
+    #[error("handshake with agent {address} timed out or was interrupted")]
+    HandshakeFailed {
+        /// The address of the agent.
         address: SocketAddr,
     },
-    /// The agent refused this peer.
-    #[error("agent {address} refused: {source}")]
-    Refused {
-        /// The agent's address.
+    /// The agent rejected the handshake.
+    #[error("agent {address} rejected the handshake: {source}")]
+    Rejected {
+        /// The address of the agent.
         address: SocketAddr,
-        /// Why.
+        /// The reason.
         source: PeerError,
     },
 }
 
-/// A transport of one service's messages over a counted stream.
+/// The transport of a service's messages over a counted stream.
 pub type CountedTransport<Item, SinkItem> =
     Transport<CountedStream<TcpStream>, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-/// Frames a stream for a service.
+/// Creates the transport of a service on a TCP stream.
 pub fn transport<Item, SinkItem>(
     stream: TcpStream,
-    count: Arc<ByteCounter>,
+    counter: Arc<ByteCounter>,
 ) -> CountedTransport<Item, SinkItem>
 where
     Item: for<'de> Deserialize<'de>,
@@ -62,21 +61,22 @@
 {
     let framed = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
-        .new_framed(CountedStream::new(stream, count));
+        .new_framed(CountedStream::new(stream, counter));
     tarpc::serde_transport::new(framed, Bincode::default())
 }
 
-/// Connects to an agent and says hello.
+/// Connects to an agent and performs the handshake.
 ///
 /// # Errors
 ///
-/// If the agent does not answer within two seconds, or refuses the hello.
+/// Returns [`ConnectError`] if connecting fails or takes more than two seconds, or
+/// the agent rejects the handshake.
 pub async fn connect(
     address: SocketAddr,
     hello: Hello,
-    count: Arc<ByteCounter>,
+    counter: Arc<ByteCounter>,
 ) -> Result<AgentApiClient, ConnectError> {
-    let no_hello = ConnectError::NoHello { address };
+    let timed_out = ConnectError::HandshakeFailed { address };
     let opening = async {
         let stream = TcpStream::connect(address)
             .await
@@ -84,14 +84,14 @@
         stream
             .set_nodelay(true)
             .map_err(|source| ConnectError::Io { address, source })?;
-        let client = AgentApiClient::new(Default::default(), transport(stream, count)).spawn();
+        let client = AgentApiClient::new(Default::default(), transport(stream, counter)).spawn();
         match client.hello(tarpc::context::current(), hello).await {
             Ok(Ok(())) => Ok(client),
-            Ok(Err(source)) => Err(ConnectError::Refused { address, source }),
-            Err(_) => Err(ConnectError::NoHello { address }),
+            Ok(Err(source)) => Err(ConnectError::Rejected { address, source }),
+            Err(_) => Err(ConnectError::HandshakeFailed { address }),
         }
     };
     tokio::time::timeout(CONNECT_TIMEOUT, opening)
         .await
-        .unwrap_or(Err(no_hello))
+        .unwrap_or(Err(timed_out))
 }
