--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -134,7 +134,7 @@
     };
     [
         text("author", "operator", "Author of the change"),
-        text("reason", "", "Reason for the change"),
+        text("reason", "", "Why"),
     ]
 }
 
--- a/crates/proto/src/agent_api.rs
+++ b/crates/proto/src/agent_api.rs
@@ -1,30 +1,29 @@
-//! What an agent answers: to its own router, to other hosts' routers, and to
-//! other agents.
+//! The RPC interface of an agent for routers and other agents.
 
 use std::sync::Arc;
 
 use chalkrock_core::{ConfigVersion, EndpointId, HostId, HostList, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// The version of these messages. Peers with another one are refused.
+/// The version of the protocol; peers with another version are rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// What a connection is for. Each purpose has connections of its own, so that
-/// its bytes can be counted at the socket.
+/// The purpose of a connection. Each purpose uses separate connections, so that
+/// its bytes are counted at the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Purpose {
-    /// A router follows its own agent's view.
+    /// A router watches the view of its local agent.
     View,
-    /// A router asks an owner for slots and gives them back.
+    /// A router acquires slots from an owner and releases them.
     Slots,
     /// Agents exchange loads, versions and leaving endpoints.
     Exchange,
-    /// An agent sends claims to the agent that writes them.
+    /// An agent sends claims to the agent that writes them to the store.
     Claims,
 }
 
 impl Purpose {
-    /// Each purpose.
+    /// All purposes.
     pub const ALL: [Purpose; 4] = [
         Purpose::View,
         Purpose::Slots,
@@ -32,7 +31,7 @@
         Purpose::Claims,
     ];
 
-    /// The label of the purpose in metrics.
+    /// Returns the label of the purpose in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Purpose::View => "view",
@@ -43,62 +42,62 @@
     }
 }
 
-/// The first call on each connection.
+/// The handshake, the first call on each connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
     /// The caller's protocol version.
     pub protocol_version: u32,
-    /// Digest of the fleet's key, hexadecimal.
+    /// The SHA-256 digest of the fleet's key, in hexadecimal.
     pub fleet_key_sha256: Arc<str>,
     /// The calling host.
     pub host: HostId,
-    /// What the connection is for.
+    /// The purpose of the connection.
     pub purpose: Purpose,
 }
 
-/// Why an agent refuses a call.
+/// Why an agent rejects a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum PeerError {
-    /// The peer speaks another protocol version.
-    #[error("the peer speaks another protocol version")]
+    /// The peer uses another protocol version.
+    #[error("the peer uses another protocol version")]
     WrongVersion,
-    /// The peer holds another fleet's key.
-    #[error("the peer holds another fleet's key")]
+    /// The peer has the key of another fleet.
+    #[error("the peer has the key of another fleet")]
     WrongFleet,
-    /// The connection was not opened with a hello for this purpose.
-    #[error("the connection was not opened for this call")]
+    /// The connection has no handshake for the purpose of this call.
+    #[error("the connection has no handshake for the purpose of this call")]
     NoHello,
 }
 
-/// What a router already has of its agent's view.
+/// The state of a router's copy of its agent's view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownView {
     /// The configuration in force at the router.
     pub config_version: ConfigVersion,
-    /// The number of the last host list taken over.
+    /// The number of the last host list that the router applied.
     pub hosts_number: u64,
 }
 
-/// A configuration as it travels: its version and its JSON text.
+/// A configuration document and its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigBody {
-    /// Its version.
+    /// The version.
     pub version: ConfigVersion,
-    /// The document, JSON. bincode can't carry tagged enums, and the text is
-    /// what the object store holds.
+    /// The document in JSON, as in the object store; bincode can't encode its
+    /// tagged enums.
     pub json: Arc<str>,
 }
 
-/// A host list as it travels to the router.
+/// A numbered host list for a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostsBody {
-    /// Counts up with each change that the agent saw.
+    /// Increases with each change that the agent observes.
     pub number: u64,
-    /// Hosts and endpoints with their states.
+    /// The hosts and endpoints with their states.
     pub list: HostList,
 }
 
-/// What has changed in the agent's view.
+/// Changes in the agent's view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewUpdate {
     /// A newer configuration, if there is one.
@@ -107,160 +106,160 @@
     pub hosts: Option<HostsBody>,
 }
 
-/// A router asks the owner of an engine for a slot there. Names travel as
-/// their hashes: asks are most of the control traffic.
+/// A router's request to the owner of an engine for a slot. Names are sent as
+/// hashes, because slot requests are most of the control traffic.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct SlotRequest {
     /// The hash of the engine's name.
     pub engine: u64,
     /// The low half of the hash of the organisation's name.
     pub organisation: u32,
-    /// How long the owner may hold the ask until a slot frees up.
+    /// How long the owner may hold the request until a slot is free.
     pub wait_ms: u16,
-    /// The pool's load by unit of weight, in thousandths, as the router
-    /// sampled it from owners' answers; 0 if it has not yet.
+    /// The pool's mean load per unit of weight, in thousandths, sampled from
+    /// the responses of owners; 0 if unknown.
     pub sampled_mean_thousandths: u32,
 }
 
-/// The owner's answer.
+/// The owner's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotResponse {
-    /// A slot is held for the request until it is given back.
+    /// A slot is reserved until it is returned.
     Granted {
-        /// Requests on the engine, this one included.
+        /// Requests in progress on the engine, including this one.
         in_progress: u32,
     },
-    /// The engine is at its bound.
+    /// The engine is at its concurrency limit.
     AtBound {
-        /// Requests on the engine.
+        /// Requests in progress on the engine.
         in_progress: u32,
     },
-    /// The engine is nearly full, and the organisation has its share of it.
+    /// The engine is nearly full, and the organisation has used its share.
     OverShare {
-        /// Requests on the engine.
+        /// Requests in progress on the engine.
         in_progress: u32,
     },
-    /// The engine takes no new work.
+    /// The engine is draining and accepts no new requests.
     Leaving,
-    /// This agent does not own the engine, or has owned it too short a time.
+    /// This agent does not own the engine, or has become its owner too recently.
     NotOwner,
 }
 
-/// Slots of one engine for one organisation.
+/// The slots held on one engine for one organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotCount {
     /// The hash of the engine's name.
     pub engine: u64,
     /// The low half of the hash of the organisation's name.
     pub organisation: u32,
-    /// How many slots.
+    /// The number of slots.
     pub count: u32,
 }
 
-/// One host's total for one pool, as it travels. Hosts and pools are named by
-/// the low half of their names' hashes.
+/// The load of one host in one pool. Both are identified by the low half of the
+/// hash of their name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostPoolLoad {
-    /// The pool.
+    /// The hash of the pool's name.
     pub pool: u32,
-    /// The host.
+    /// The hash of the host's name.
     pub host: u32,
-    /// Requests in progress on the engines it owns.
+    /// Requests in progress on the engines that the host owns.
     pub in_progress: u32,
-    /// The weight of these engines.
+    /// The total weight of these engines.
     pub weight: u32,
-    /// How long ago the host said so.
+    /// The age of the host's report.
     pub age_ms: u32,
 }
 
-/// An endpoint that was seen to leave.
+/// An endpoint that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingEndpoint {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The life that leaves.
+    /// The incarnation that is leaving.
     pub incarnation: Incarnation,
 }
 
-/// One round of the exchange, the same in both directions.
+/// The state that two agents exchange, the same in both directions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerUpdate {
-    /// The version in force at the sender.
+    /// The configuration version in force at the sender.
     pub config_version: ConfigVersion,
-    /// The freshest totals that it knows.
+    /// The latest loads known to the sender.
     pub loads: Vec<HostPoolLoad>,
-    /// Endpoints that it lately saw leaving.
+    /// Endpoints that the sender recently observed leaving.
     pub leaving: Vec<LeavingEndpoint>,
 }
 
-/// What the write of a claim expects to find.
+/// The condition of the write of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimExpect {
-    /// No row.
+    /// The key has no row.
     Absent,
-    /// The row at this version.
+    /// The row has this version.
     Version(u64),
 }
 
-/// A row of a claim that is to be written.
+/// A conditional write of the row of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimWrite {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// The row, JSON.
+    /// The value of the row, in JSON.
     pub value: String,
-    /// What it replaces.
+    /// The condition.
     pub expect: ClaimExpect,
 }
 
-/// What became of the write of a claim.
+/// The result of writing a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimResult {
-    /// It is in the table.
+    /// The claim was written.
     Written {
-        /// The row's version.
+        /// The version of the row.
         version: u64,
     },
-    /// Another row is in its way; nothing was written.
+    /// Another row has the key; nothing was written.
     Found {
-        /// That row's version.
+        /// The version of that row.
         version: u64,
-        /// That row, JSON.
+        /// The value of that row, in JSON.
         value: String,
     },
-    /// The row that it should replace is gone; nothing was written.
+    /// The row to replace does not exist; nothing was written.
     Gone,
-    /// The table does not answer; nothing was written.
+    /// The table is unavailable; nothing was written.
     Unavailable,
-    /// It may have been written.
+    /// The claim may have been written.
     Unsettled,
 }
 
-/// What an agent answers.
+/// The RPC service of an agent.
 #[tarpc::service]
 pub trait AgentApi {
-    /// Opens the connection. Any other call before it is refused.
+    /// Performs the handshake; calls before it are rejected.
     async fn hello(hello: Hello) -> Result<(), PeerError>;
 
-    /// Answers with what is newer than `known`, at once if there is anything,
-    /// else after the heartbeat interval with nothing.
+    /// Returns changes since `known` as soon as there are any, or an empty update
+    /// after the heartbeat interval.
     async fn watch_view(known: KnownView) -> Result<ViewUpdate, PeerError>;
 
-    /// Asks for a slot.
+    /// Requests a slot.
     async fn ask_slot(ask: SlotRequest) -> Result<SlotResponse, PeerError>;
 
-    /// Gives slots back.
+    /// Returns slots to the owner.
     async fn return_slots(returns: Vec<SlotCount>) -> Result<(), PeerError>;
 
-    /// Tells a new owner what the router holds of its engines.
+    /// Reports to a new owner the slots that the router holds on its engines.
     async fn adopt_slots(held: Vec<SlotCount>) -> Result<(), PeerError>;
 
-    /// Exchanges news with another agent.
+    /// Exchanges updates with another agent.
     async fn exchange(news: PeerUpdate) -> Result<PeerUpdate, PeerError>;
 
-    /// Writes a claim, together with others.
+    /// Writes a claim, batched with others.
     async fn write_claim(write: ClaimWrite) -> Result<ClaimResult, PeerError>;
 
-    /// The configuration in force here, for an agent that has an older one.
+    /// Returns the configuration in force at this agent.
     async fn config_body() -> Result<Option<ConfigBody>, PeerError>;
 }
--- a/crates/proto/src/counted.rs
+++ b/crates/proto/src/counted.rs
@@ -1,5 +1,4 @@
-//! A TCP stream that counts its bytes, so that control traffic is read off
-//! the socket and not estimated.
+//! A stream that counts the bytes it transfers.
 
 use std::io;
 use std::pin::Pin;
@@ -9,8 +8,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that crossed the sockets of one kind, both ways, without the
-/// headers of TCP and IP.
+/// Counts bytes in both directions, without TCP and IP headers.
 #[derive(Debug, Default)]
 pub struct ByteCounter {
     read_bytes: AtomicU64,
@@ -18,28 +16,28 @@
 }
 
 impl ByteCounter {
-    /// Bytes received so far.
+    /// Returns the number of bytes received.
     pub fn read_bytes(&self) -> u64 {
         self.read_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent so far.
+    /// Returns the number of bytes sent.
     pub fn written_bytes(&self) -> u64 {
         self.written_bytes.load(Ordering::Relaxed)
     }
 }
 
-/// A stream whose bytes are added to a [`ByteCounter`].
+/// A stream that adds its bytes to a [`ByteCounter`].
 #[derive(Debug)]
 pub struct CountedStream<S> {
     stream: S,
-    count: Arc<ByteCounter>,
+    counter: Arc<ByteCounter>,
 }
 
 impl<S> CountedStream<S> {
     /// Wraps a stream.
-    pub fn new(stream: S, count: Arc<ByteCounter>) -> Self {
-        Self { stream, count }
+    pub fn new(stream: S, counter: Arc<ByteCounter>) -> Self {
+        Self { stream, counter }
     }
 }
 
@@ -52,7 +50,7 @@
         let before = buf.filled().len();
         let poll = Pin::new(&mut self.stream).poll_read(cx, buf);
         let read = buf.filled().len() - before;
-        self.count
+        self.counter
             .read_bytes
             .fetch_add(read as u64, Ordering::Relaxed);
         poll
@@ -67,7 +65,7 @@
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(written)) = &poll {
-            self.count
+            self.counter
                 .written_bytes
                 .fetch_add(*written as u64, Ordering::Relaxed);
         }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,9 +1,8 @@
 //! Messages and tarpc services between chalkrock's processes.
 //!
-//! A router follows its agent's view and asks owners for slots; agents talk
-//! to each other. All of it is one service, [`AgentApi`], over connections
-//! that each serve one [`Purpose`] and count their bytes. Use this crate to
-//! write another client of an agent.
+//! A router watches the view of its local agent and acquires slots from owners;
+//! agents exchange updates. All calls belong to one service, [`AgentApi`], over
+//! connections that each serve one [`Purpose`] and count their bytes.
 //!
 //! # Example
 //!
@@ -11,15 +10,15 @@
 //! use std::sync::Arc;
 //! use chalkrock_proto::{ByteCounter, Hello, KnownView, PROTOCOL_VERSION, Purpose, connect};
 //!
-//! # async fn follow() -> Result<(), Box<dyn std::error::Error>> {
+//! # async fn watch() -> Result<(), Box<dyn std::error::Error>> {
 //! let hello = Hello {
 //!     protocol_version: PROTOCOL_VERSION,
 //!     fleet_key_sha256: "…".into(),
 //!     host: "host-1".into(),
 //!     purpose: Purpose::View,
 //! };
-//! let count = Arc::new(ByteCounter::default());
-//! let agent = connect("127.0.0.1:7101".parse()?, hello, count).await?;
+//! let counter = Arc::new(ByteCounter::default());
+//! let agent = connect("127.0.0.1:7101".parse()?, hello, counter).await?;
 //! let update = agent.watch_view(tarpc::context::current(), KnownView::default()).await??;
 //! println!("{:?}", update.config);
 //! # Ok(())
--- a/crates/proto/src/traffic.rs
+++ b/crates/proto/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Control traffic of a process, by purpose.
+//! Control traffic of a process by purpose.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,7 +6,7 @@
 use crate::agent_api::Purpose;
 use crate::counted::ByteCounter;
 
-/// Bytes that crossed sockets, both ways.
+/// Bytes transferred in each direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficBytes {
     /// Bytes received.
@@ -15,7 +15,7 @@
     pub written_bytes: u64,
 }
 
-/// Counts of all connections of a process, open and closed.
+/// Byte counters of all connections of a process, open and closed.
 ///
 /// # Example
 ///
@@ -23,8 +23,8 @@
 /// use chalkrock_proto::{Purpose, Traffic};
 ///
 /// let traffic = Traffic::default();
-/// let count = traffic.open(Purpose::Slots);
-/// assert_eq!(traffic.bytes(Purpose::Slots).read_bytes, count.read_bytes());
+/// let counter = traffic.open(Purpose::Slots);
+/// assert_eq!(traffic.bytes(Purpose::Slots).read_bytes, counter.read_bytes());
 /// ```
 #[derive(Debug, Default)]
 pub struct Traffic(Mutex<State>);
@@ -36,36 +36,36 @@
 }
 
 impl Traffic {
-    /// A count for a new connection.
+    /// Creates and attaches the counter of a new connection.
     pub fn open(&self, purpose: Purpose) -> Arc<ByteCounter> {
-        let count = Arc::new(ByteCounter::default());
-        self.attach(purpose, count.clone());
-        count
+        let counter = Arc::new(ByteCounter::default());
+        self.attach(purpose, counter.clone());
+        counter
     }
 
-    /// Adds a connection whose purpose became known after it was opened.
-    pub fn attach(&self, purpose: Purpose, count: Arc<ByteCounter>) {
+    /// Attaches the counter of a connection whose purpose became known after it was opened.
+    pub fn attach(&self, purpose: Purpose, counter: Arc<ByteCounter>) {
         let mut state = self.state();
         state.fold_closed();
-        state.open.push((purpose, count));
+        state.open.push((purpose, counter));
     }
 
-    /// All bytes of a purpose so far.
+    /// Returns the bytes of a purpose on all connections.
     pub fn bytes(&self, purpose: Purpose) -> TrafficBytes {
         let state = self.state();
         let mut total = state.closed.get(&purpose).copied().unwrap_or_default();
-        for (_, count) in state.open.iter().filter(|(of, _)| *of == purpose) {
-            total.add(count);
+        for (_, counter) in state.open.iter().filter(|(p, _)| *p == purpose) {
+            total.add(counter);
         }
         total
     }
 
-    /// All bytes so far, with the labels of metrics.
+    /// Returns the bytes by purpose and direction, with their metric labels.
     pub fn labelled(&self) -> Vec<(String, u64)> {
         let mut labelled = Vec::new();
         for purpose in Purpose::ALL {
             let bytes = self.bytes(purpose);
-            let label = |way: &str| format!("purpose=\"{}\",way=\"{way}\"", purpose.label());
+            let label = |dir: &str| format!("purpose=\"{}\",way=\"{dir}\"", purpose.label());
             labelled.push((label("in"), bytes.read_bytes));
             labelled.push((label("out"), bytes.written_bytes));
         }
@@ -78,20 +78,20 @@
 }
 
 impl State {
-    /// Moves counts whose connection is gone into the totals.
+    /// Adds the counters of dropped connections to the totals.
     fn fold_closed(&mut self) {
         let closed = self
             .open
-            .extract_if(.., |(_, count)| Arc::strong_count(count) == 1);
-        for (purpose, count) in closed {
-            self.closed.entry(purpose).or_default().add(&count);
+            .extract_if(.., |(_, counter)| Arc::strong_count(counter) == 1);
+        for (purpose, counter) in closed {
+            self.closed.entry(purpose).or_default().add(&counter);
         }
     }
 }
 
 impl TrafficBytes {
-    fn add(&mut self, count: &ByteCounter) {
-        self.read_bytes += count.read_bytes();
-        self.written_bytes += count.written_bytes();
+    fn add(&mut self, counter: &ByteCounter) {
+        self.read_bytes += counter.read_bytes();
+        self.written_bytes += counter.written_bytes();
     }
 }
