--- a/crates/agent/src/slots.rs
+++ b/crates/agent/src/slots.rs
@@ -10,7 +10,7 @@
     OrganisationKey, OwnedEngine, Owner, Pool, PoolId, PoolKind, SlotDecision, SlotHolder,
     SlotRules, Weights, owner_index,
 };
-use chalkrock_proto::{LoadBody, SlotAnswer, SlotAsk, SlotCount};
+use chalkrock_proto::{HostPoolLoad, SlotCount, SlotReply, SlotRequest};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -171,12 +171,12 @@
     }
 
     /// Answers an ask; holds it for a while if the engine is at its bound.
-    pub(crate) async fn ask(&self, ask: SlotAsk, holder: &HostId) -> SlotAnswer {
+    pub(crate) async fn ask(&self, ask: SlotRequest, holder: &HostId) -> SlotReply {
         let holder = holder_of(holder, ask.organisation);
         let give_up_at = Instant::now() + Duration::from_millis(ask.wait_ms.into());
         loop {
             let (answer, freed) = self.ask_now(ask, holder);
-            let SlotAnswer::AtBound { .. } = answer else {
+            let SlotReply::AtBound { .. } = answer else {
                 return answer;
             };
             let Some(freed) = freed else {
@@ -193,30 +193,30 @@
 
     fn ask_now(
         &self,
-        ask: SlotAsk,
+        ask: SlotRequest,
         holder: SlotHolder<HostKey>,
-    ) -> (SlotAnswer, Option<Arc<Notify>>) {
+    ) -> (SlotReply, Option<Arc<Notify>>) {
         let engine = ask.engine;
         let now_ms = self.now_ms();
         let mut state = self.state();
         let Some(entry) = state.engines.get(&engine).cloned() else {
-            return (SlotAnswer::NotOwner, None);
+            return (SlotReply::NotOwner, None);
         };
         if entry.leaving {
-            return (SlotAnswer::Leaving, None);
+            return (SlotReply::Leaving, None);
         }
         let Some(pool) = state.pools.get_mut(&entry.pool) else {
-            return (SlotAnswer::NotOwner, None);
+            return (SlotReply::NotOwner, None);
         };
         if ask.sampled_mean_thousandths > 0 {
             pool.owner
                 .record_sample(f64::from(ask.sampled_mean_thousandths) / 1_000.0);
         }
         let answer = match pool.owner.request_slot(&engine, holder, now_ms) {
-            Some(SlotDecision::Granted { load }) => SlotAnswer::Granted { in_progress: load },
-            Some(SlotDecision::AtBound { load }) => SlotAnswer::AtBound { in_progress: load },
-            Some(SlotDecision::OverShare { load }) => SlotAnswer::OverShare { in_progress: load },
-            Some(SlotDecision::Settling) | None => SlotAnswer::NotOwner,
+            Some(SlotDecision::Granted { load }) => SlotReply::Granted { in_progress: load },
+            Some(SlotDecision::AtBound { load }) => SlotReply::AtBound { in_progress: load },
+            Some(SlotDecision::OverShare { load }) => SlotReply::OverShare { in_progress: load },
+            Some(SlotDecision::Settling) | None => SlotReply::NotOwner,
         };
         (answer, Some(entry.freed))
     }
@@ -277,13 +277,13 @@
     }
 
     /// The freshest totals of all pools, for a round of the exchange.
-    pub(crate) fn loads(&self) -> Vec<LoadBody> {
+    pub(crate) fn loads(&self) -> Vec<HostPoolLoad> {
         let now_ms = self.now_ms();
         let mut state = self.state();
         let mut loads = Vec::new();
         for pool in state.pools.values_mut() {
             let entries = pool.owner.load_table(now_ms).newest(now_ms, ENTRIES_MAX);
-            loads.extend(entries.into_iter().map(|entry| LoadBody {
+            loads.extend(entries.into_iter().map(|entry| HostPoolLoad {
                 pool: pool.short,
                 host: entry.host,
                 in_progress: entry.load.in_progress,
@@ -295,7 +295,7 @@
     }
 
     /// Merges totals that a peer sent.
-    pub(crate) fn merge(&self, loads: &[LoadBody]) {
+    pub(crate) fn merge(&self, loads: &[HostPoolLoad]) {
         let now_ms = self.now_ms();
         for pool in self.state().pools.values_mut() {
             let of_pool = loads.iter().filter(|load| load.pool == pool.short);
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,9 +1,8 @@
-//! Settings, logs, spans, metrics and stops shared by chalkrock's programs.
+//! Settings, logging, tracing, metrics and shutdown for chalkrock's programs.
 //!
-//! Each program is a `clap` command made by [`program`], run by [`run`]: it
-//! reads its YAML settings (or exits with code 2 and says file, line, key and
-//! what was expected), starts logs and spans, and hands the rest to the
-//! program until a stop is asked for.
+//! Each program is a `clap` command built by [`program`] and run by [`run`],
+//! which loads the YAML settings. Invalid settings end the process with exit
+//! code 2 and an error with file, line, key and expected value.
 //!
 //! # Example
 //!
@@ -32,5 +31,5 @@
 pub use logs::{LogFormat, LogSettings, start_logs};
 pub use metrics::{Histogram, Metrics};
 pub use settings::{SettingsError, load_settings, parse_settings};
-pub use spans::{SpanSettings, inject, remote_parent, start_spans, trace_id};
+pub use spans::{SpanSettings, inject_trace_context, set_remote_parent, start_spans, trace_id};
 pub use stop::{Stop, StopHandle, stop_on_signal, stop_pair};
--- a/crates/proto/src/counted.rs
+++ b/crates/proto/src/counted.rs
@@ -1,5 +1,4 @@
-//! A TCP stream that counts its bytes, so that control traffic is read off
-//! the socket and not estimated.
+//! A stream that counts the bytes it transfers.
 
 use std::io;
 use std::pin::Pin;
@@ -9,41 +8,40 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that crossed the sockets of one kind, both ways, without the
-/// headers of TCP and IP.
+/// Counts bytes in both directions, without TCP and IP headers.
 #[derive(Debug, Default)]
-pub struct ByteCount {
+pub struct ByteCounter {
     read_bytes: AtomicU64,
     written_bytes: AtomicU64,
 }
 
-impl ByteCount {
-    /// Bytes received so far.
+impl ByteCounter {
+    /// Returns the number of bytes received.
     pub fn read_bytes(&self) -> u64 {
         self.read_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent so far.
+    /// Returns the number of bytes sent.
     pub fn written_bytes(&self) -> u64 {
         self.written_bytes.load(Ordering::Relaxed)
     }
 }
 
-/// A stream whose bytes are added to a [`ByteCount`].
+/// A stream that adds its bytes to a [`ByteCounter`].
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     stream: S,
-    count: Arc<ByteCount>,
+    counter: Arc<ByteCounter>,
 }
 
-impl<S> Counted<S> {
+impl<S> CountedStream<S> {
     /// Wraps a stream.
-    pub fn new(stream: S, count: Arc<ByteCount>) -> Self {
-        Self { stream, count }
+    pub fn new(stream: S, counter: Arc<ByteCounter>) -> Self {
+        Self { stream, counter }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -52,14 +50,14 @@
         let before = buf.filled().len();
         let poll = Pin::new(&mut self.stream).poll_read(cx, buf);
         let read = buf.filled().len() - before;
-        self.count
+        self.counter
             .read_bytes
             .fetch_add(read as u64, Ordering::Relaxed);
         poll
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -67,7 +65,7 @@
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(written)) = &poll {
-            self.count
+            self.counter
                 .written_bytes
                 .fetch_add(*written as u64, Ordering::Relaxed);
         }
