--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,8 +1,8 @@
-//! Load over HTTP, for real processes, and experiments on virtual time.
+//! Load generation over HTTP and rollout simulation in virtual time.
 //!
-//! Use [`live`] to see what a router adds to an engine's time, and whether each
-//! caller gets the whole answer to its own request; [`rollouts`] to compare ways to
-//! move a pool to another build.
+//! [`live`] measures the latency that a router adds to an engine and checks that
+//! each caller receives its own complete answer. [`rollouts`] compares rollout
+//! policies.
 //!
 //! # Example
 //!
@@ -14,11 +14,11 @@
 //!     key: "key-dispatch".to_owned(),
 //!     model: "stand-in-7b".to_owned(),
 //!     requests: 100,
-//!     parallel: 4,
-//!     tokens: 16,
+//!     concurrency: 4,
+//!     tokens_per_answer: 16,
 //!     stream: true,
 //! };
-//! assert!(load.parallel <= load.requests);
+//! assert!(load.concurrency <= load.requests);
 //! ```
 
 pub mod live;
--- a/crates/measure/src/live.rs
+++ b/crates/measure/src/live.rs
@@ -1,9 +1,8 @@
-//! Loads real processes over HTTP, and checks that each caller gets the whole
-//! answer to its own request.
+//! HTTP load generator that checks that each caller receives its own complete answer.
 //!
-//! The stand-in engine answers a message that starts with a nonce by numbered
-//! words of that nonce, so that a foreign or cut answer shows. The same load
-//! sent to an engine directly shows the time that the router adds.
+//! The stand-in engine answers with numbered copies of the message's first word,
+//! a nonce here, which exposes mixed-up and truncated answers. Sending the same
+//! load directly to an engine gives the baseline for the router's latency.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,65 +14,64 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Longest latency that is kept.
-const LATENCY_MAX_US: u64 = 600_000_000;
+/// Longer latencies are recorded as this value.
+const MAX_LATENCY_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// A request without an end by then failed.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A load, bounded in count and parallelism.
+/// A load with a fixed number of requests and bounded concurrency.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The base URL, of a router or of an engine.
+    /// Base URL of a router or an engine.
     pub target: String,
-    /// The organisation's key.
+    /// API key of the organisation.
     pub key: String,
-    /// The model asked for.
+    /// Requested model.
     pub model: String,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: u64,
-    /// Requests at once.
-    pub parallel: u64,
-    /// Tokens of each answer.
-    pub tokens: u64,
-    /// Whether answers are streamed.
+    /// Maximum number of concurrent requests.
+    pub concurrency: u64,
+    /// Tokens per answer.
+    pub tokens_per_answer: u64,
+    /// Whether to request streamed answers.
     pub stream: bool,
 }
 
-/// What a load measured.
+/// Result of a load.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadResult {
-    /// Requests answered whole, each with its own answer.
+    /// Requests that received their own complete answer.
     pub whole: u64,
-    /// Requests refused with a typed error.
+    /// Requests rejected with an HTTP error status.
     pub refused: u64,
-    /// Requests that got another answer than their own, or part of one.
+    /// Requests that received another request's answer or an incomplete one.
     pub wrong: u64,
-    /// Requests without an answer.
+    /// Requests that failed without a complete response.
     pub broken: u64,
-    /// Requests answered whole in a second.
+    /// Complete answers per second.
     pub per_second: f64,
-    /// Time to the first byte.
+    /// Time to the first byte of the body.
     pub first_byte_us: Percentiles,
-    /// Time to the end.
+    /// Time to the end of the response.
     pub total_us: Percentiles,
 }
 
 /// Percentiles of a latency, in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Percentiles {
-    /// Half are faster.
+    /// Median.
     pub p50: u64,
-    /// 95 in 100 are faster.
+    /// 95th percentile.
     pub p95: u64,
-    /// 99 in 100 are faster.
+    /// 99th percentile.
     pub p99: u64,
-    /// The slowest.
+    /// Maximum.
     pub max: u64,
 }
 
-/// How one request ended.
-enum Ending {
+/// Outcome of one request.
+enum RequestOutcome {
     Whole {
         first_byte: Duration,
         total: Duration,
@@ -95,7 +93,7 @@
 impl Totals {
     fn new() -> Self {
         let histogram = || {
-            Histogram::new_with_bounds(1, LATENCY_MAX_US, SIGNIFICANT_DIGITS)
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
                 .expect("constant bounds are valid")
         };
         Self {
@@ -108,18 +106,18 @@
         }
     }
 
-    fn add(&mut self, ending: Ending) {
-        match ending {
-            Ending::Whole { first_byte, total } => {
+    fn add(&mut self, outcome: RequestOutcome) {
+        match outcome {
+            RequestOutcome::Whole { first_byte, total } => {
                 self.whole += 1;
                 self.first_byte
                     .saturating_record(first_byte.as_micros().max(1) as u64);
                 self.total
                     .saturating_record(total.as_micros().max(1) as u64);
             }
-            Ending::Refused => self.refused += 1,
-            Ending::Wrong => self.wrong += 1,
-            Ending::Broken => self.broken += 1,
+            RequestOutcome::Refused => self.refused += 1,
+            RequestOutcome::Wrong => self.wrong += 1,
+            RequestOutcome::Broken => self.broken += 1,
         }
     }
 
@@ -145,48 +143,48 @@
     }
 }
 
-/// Runs a load to its end.
+/// Sends all requests of a load and summarises their outcomes.
 ///
 /// # Errors
 ///
-/// If no HTTP client can be made.
+/// Returns an error if the HTTP client can't be built.
 pub async fn run(load: Load) -> reqwest::Result<LoadResult> {
     let client = reqwest::Client::builder()
         .no_proxy()
         .timeout(REQUEST_TIMEOUT)
         .build()?;
     let load = Arc::new(load);
-    let next = Arc::new(AtomicU64::new(0));
+    let next_request = Arc::new(AtomicU64::new(0));
     let start = Instant::now();
     let mut workers = JoinSet::new();
-    for _ in 0..load.parallel {
-        let (client, load, next) = (client.clone(), load.clone(), next.clone());
+    for _ in 0..load.concurrency {
+        let (client, load, next_request) = (client.clone(), load.clone(), next_request.clone());
         workers.spawn(async move {
-            let mut endings = Vec::new();
+            let mut outcomes = Vec::new();
             loop {
-                let number = next.fetch_add(1, Ordering::Relaxed);
+                let number = next_request.fetch_add(1, Ordering::Relaxed);
                 if number >= load.requests {
-                    return endings;
+                    return outcomes;
                 }
-                endings.push(send(&client, &load, number).await);
+                outcomes.push(send(&client, &load, number).await);
             }
         });
     }
     let mut totals = Totals::new();
-    for ending in workers.join_all().await.into_iter().flatten() {
-        totals.add(ending);
+    for outcome in workers.join_all().await.into_iter().flatten() {
+        totals.add(outcome);
     }
     Ok(totals.result(start.elapsed()))
 }
 
-async fn send(client: &reqwest::Client, load: &Load, number: u64) -> Ending {
+async fn send(client: &reqwest::Client, load: &Load, number: u64) -> RequestOutcome {
     let nonce = format!("n{number}");
     let messages = [json!({"role": "user", "content": format!("{nonce} please")})];
     let body = json!({
         "model": load.model,
         "messages": messages,
         "stream": load.stream,
-        "max_tokens": load.tokens,
+        "max_tokens": load.tokens_per_answer,
     });
     let start = Instant::now();
     let url = format!("{}/v1/chat/completions", load.target);
@@ -197,10 +195,10 @@
         .send()
         .await
     else {
-        return Ending::Broken;
+        return RequestOutcome::Broken;
     };
     if !response.status().is_success() {
-        return Ending::Refused;
+        return RequestOutcome::Refused;
     }
     let mut answer = Vec::new();
     let mut first_byte = None;
@@ -211,22 +209,24 @@
                 answer.extend_from_slice(&chunk);
             }
             Ok(None) => break,
-            Err(_) => return Ending::Broken,
+            Err(_) => return RequestOutcome::Broken,
         }
     }
-    let expected: String = (0..load.tokens).map(|i| format!("{nonce}.{i} ")).collect();
-    let text = text_of(&String::from_utf8_lossy(&answer), load.stream);
+    let expected: String = (0..load.tokens_per_answer)
+        .map(|i| format!("{nonce}.{i} "))
+        .collect();
+    let text = completion_text(&String::from_utf8_lossy(&answer), load.stream);
     match (text == Some(expected), first_byte) {
-        (true, Some(first_byte)) => Ending::Whole {
+        (true, Some(first_byte)) => RequestOutcome::Whole {
             first_byte,
             total: start.elapsed(),
         },
-        _ => Ending::Wrong,
+        _ => RequestOutcome::Wrong,
     }
 }
 
-/// The text of an answer, `None` if it did not come to its end.
-fn text_of(answer: &str, stream: bool) -> Option<String> {
+/// Extracts the text of an answer, or `None` if the answer is incomplete.
+fn completion_text(answer: &str, stream: bool) -> Option<String> {
     if !stream {
         let body: Value = serde_json::from_str(answer).ok()?;
         return body["choices"][0]["message"]["content"]
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,9 +1,9 @@
-//! `chalkrock-measure`: load over HTTP.
+//! `chalkrock-measure`: HTTP load generation and rollout simulation.
 
 use std::process::ExitCode;
 
 use chalkrock_measure::live::{self, Load};
-use chalkrock_measure::rollouts::{ExposureWay, FAULTS, JudgeWay, PoolTraffic, figures};
+use chalkrock_measure::rollouts::{DetectionPolicy, ExposurePolicy, FAULTS, PoolTraffic, evaluate};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 fn command() -> Command {
@@ -68,8 +68,8 @@
         key: text("key"),
         model: text("model"),
         requests: number("requests"),
-        parallel: number("parallel"),
-        tokens: number("tokens"),
+        concurrency: number("parallel"),
+        tokens_per_answer: number("tokens"),
         stream: !matches.get_flag("whole"),
     };
     let requests = load.requests;
@@ -78,25 +78,25 @@
         .build()?;
     let result = runtime.block_on(live::run(load))?;
     println!("{}", serde_json::to_string(&result)?);
-    let all_whole = result.whole == requests;
-    Ok(if all_whole {
+    let all_complete = result.whole == requests;
+    Ok(if all_complete {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-/// Prints how each way does under each kind of build.
+/// Prints a table of all policies under each fault.
 fn run_rollouts(matches: &ArgMatches) -> ExitCode {
     let seeds = matches.get_one::<u32>("seeds").copied().unwrap_or(1);
     let hosts = matches.get_one::<u32>("hosts").copied().unwrap_or(1) as usize;
-    let ways = [
-        (ExposureWay::PartsOfHosts, JudgeWay::Sequential),
-        (ExposureWay::FewHosts, JudgeWay::Sequential),
-        (ExposureWay::Grants, JudgeWay::Sequential),
-        (ExposureWay::Drawn, JudgeWay::Sequential),
-        (ExposureWay::PartsOfHosts, JudgeWay::Threshold),
-        (ExposureWay::PartsOfHosts, JudgeWay::FixedStages),
+    let policies = [
+        (ExposurePolicy::PartsOfHosts, DetectionPolicy::Sequential),
+        (ExposurePolicy::FewHosts, DetectionPolicy::Sequential),
+        (ExposurePolicy::Grants, DetectionPolicy::Sequential),
+        (ExposurePolicy::Drawn, DetectionPolicy::Sequential),
+        (ExposurePolicy::PartsOfHosts, DetectionPolicy::Threshold),
+        (ExposurePolicy::PartsOfHosts, DetectionPolicy::FixedStages),
     ];
     let pools = [
         ("generations", PoolTraffic::generations(hosts)),
@@ -108,16 +108,16 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (name, pool) in &pools {
         for fault in FAULTS {
-            for (exposure, judge) in ways {
-                let of = figures(pool, fault, exposure, judge, seeds);
+            for (exposure, detection) in policies {
+                let summary = evaluate(pool, fault, exposure, detection, seeds);
                 println!(
-                    "| {name} | {fault} | {exposure:?}, {judge:?} | {:.0} | {} | {:.3} | {:.3} | {:.1} | {:.3} |",
-                    of.exposed_mean,
-                    of.exposed_p99,
-                    of.over_bound,
-                    of.left,
-                    of.left_ms / 1_000.0,
-                    of.done_in_time,
+                    "| {name} | {fault} | {exposure:?}, {detection:?} | {:.0} | {} | {:.3} | {:.3} | {:.1} | {:.3} |",
+                    summary.exposed_mean,
+                    summary.exposed_p99,
+                    summary.over_bound,
+                    summary.rolled_back,
+                    summary.rolled_back_ms / 1_000.0,
+                    summary.done_in_time,
                 );
             }
         }
