--- a/crates/e2e/tests/outcomes.rs
+++ b/crates/e2e/tests/outcomes.rs
@@ -55,7 +55,7 @@
     cluster
         .services
         .iter()
-        .map(|service| service.runs_of(request))
+        .map(|service| service.run_count(request))
         .sum()
 }
 
--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/answer.rs
@@ -1,14 +1,14 @@
-//! An engine's answer: tokens that repeat the caller's last word, numbered.
+//! An engine's answer: numbered copies of the first word of the last user message.
 //!
-//! The words let a test see that it got its own answer, whole: `n7.0 n7.1 …`
-//! for a request whose last message starts with `n7`.
+//! A message that starts with `n7` is answered with `n7.0 n7.1 …`, so that a test
+//! can check that it received its own complete answer.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
 const DEFAULT_TOKENS: usize = 16;
 
-/// A chat completion request, as far as the stand-in reads it.
+/// The fields of a chat completion request that the stand-in uses.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct ChatRequest {
     pub(super) model: String,
@@ -17,7 +17,7 @@
     pub(super) stream: bool,
     #[serde(default)]
     pub(super) max_tokens: Option<usize>,
-    /// The last message is the begin of the answer: go on from there.
+    /// Whether to continue the last message, which is the start of the answer.
     #[serde(default)]
     pub(super) continue_final_message: bool,
 }
@@ -28,10 +28,10 @@
     pub(super) content: String,
 }
 
-/// A whole answer, kept so that it can be streamed again.
+/// A complete answer, retained for stream resumption.
 #[derive(Debug)]
 pub(super) struct Answer {
-    request: String,
+    request_id: String,
     model: String,
     tokens: Vec<String>,
     prompt_bytes: usize,
@@ -39,8 +39,8 @@
 }
 
 impl Answer {
-    pub(super) fn new(request: &str, chat: &ChatRequest, cached_bytes: usize) -> Self {
-        let last_of = |role: &str| {
+    pub(super) fn new(request_id: &str, chat: &ChatRequest, cached_bytes: usize) -> Self {
+        let content = |role: &str| {
             let message = chat
                 .messages
                 .iter()
@@ -48,36 +48,36 @@
                 .find(|message| message.role == role);
             message.map_or("", |message| message.content.as_str())
         };
-        let word = last_of("user").split_whitespace().next().unwrap_or("empty");
+        let nonce = content("user").split_whitespace().next().unwrap_or("empty");
         let first = match chat.continue_final_message {
-            true => last_of("assistant").split_whitespace().count(),
+            true => content("assistant").split_whitespace().count(),
             false => 0,
         };
         let end = chat
             .max_tokens
             .map_or(DEFAULT_TOKENS.max(first), |count| first + count);
         Self {
-            request: request.to_owned(),
+            request_id: request_id.to_owned(),
             model: chat.model.clone(),
-            tokens: (first..end).map(|i| format!("{word}.{i} ")).collect(),
+            tokens: (first..end).map(|i| format!("{nonce}.{i} ")).collect(),
             prompt_bytes: chat.messages.iter().map(|m| m.content.len()).sum(),
             cached_bytes,
         }
     }
 
-    /// How many events the stream has, without the closing `[DONE]`.
+    /// Number of events in the stream, excluding the final `[DONE]`.
     pub(super) fn event_count(&self) -> usize {
         self.tokens.len() + 1
     }
 
-    /// The data of event `i`: a token each, then the end with the usage.
+    /// Data of event `i`: one token per event, then the finish reason with the usage.
     pub(super) fn event(&self, i: usize) -> String {
         let choice = match self.tokens.get(i) {
             Some(token) => json!({"index": 0, "delta": {"content": token}, "finish_reason": null}),
             None => json!({"index": 0, "delta": {}, "finish_reason": "stop"}),
         };
         let mut chunk = json!({
-            "id": self.request,
+            "id": self.request_id,
             "object": "chat.completion.chunk",
             "model": self.model,
             "choices": [choice],
@@ -88,11 +88,11 @@
         chunk.to_string()
     }
 
-    /// The whole answer as one completion.
-    pub(super) fn whole(&self) -> Value {
+    /// Returns the answer as one completion object.
+    pub(super) fn completion(&self) -> Value {
         let message = json!({"role": "assistant", "content": self.tokens.concat()});
         json!({
-            "id": self.request,
+            "id": self.request_id,
             "object": "chat.completion",
             "model": self.model,
             "choices": [{"index": 0, "message": message, "finish_reason": "stop"}],
--- a/crates/standin/src/engine/api.rs
+++ b/crates/standin/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP API.
+//! HTTP API of the engine.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 use super::runs::{Run, Runs};
 use crate::faults::{Faults, SharedFaults};
 
-/// Time for the events before a break to arrive.
-const BREAK_PAUSE: Duration = Duration::from_millis(10);
-/// Events that wait for a slow reader.
+/// Delay before breaking a connection, so that earlier events arrive.
+const BREAK_DELAY: Duration = Duration::from_millis(10);
+/// Events buffered for a slow client.
 const EVENT_BUFFER: usize = 64;
 
 #[derive(Clone)]
@@ -48,9 +48,9 @@
 }
 
 async fn load(State(api): State<Api>) -> Response {
-    api.faults.slow().await;
+    api.faults.delay().await;
     if api.faults.get().down {
-        return refusal("down");
+        return not_started("down");
     }
     Json(api.runs.report()).into_response()
 }
@@ -69,9 +69,9 @@
     StatusCode::OK
 }
 
-/// A refusal by contract: 503 with this header says that nothing started.
-fn refusal(why: &str) -> Response {
-    let body = json!({"error": {"type": "not_started", "message": why}});
+/// Returns the 503 with the header that guarantees that the request did not start.
+fn not_started(reason: &str) -> Response {
+    let body = json!({"error": {"type": "not_started", "message": reason}});
     (
         StatusCode::SERVICE_UNAVAILABLE,
         [("x-not-started", "true")],
@@ -87,35 +87,35 @@
 ) -> Response {
     let faults = api.faults.get();
     if faults.down || faults.refuse {
-        api.runs.refuse();
-        return refusal("refused");
+        api.runs.count_refusal();
+        return not_started("refused");
     }
     let id = header(&headers, "x-request-id")
         .unwrap_or("unnamed")
         .to_owned();
     let Some(mut run) = api.runs.begin(&id) else {
-        api.runs.refuse();
-        return refusal("leaving");
+        api.runs.count_refusal();
+        return not_started("leaving");
     };
     if faults.garbage {
         return garbage();
     }
-    run.take_slot().await;
-    api.faults.slow().await;
+    run.acquire_slot().await;
+    api.faults.delay().await;
     let messages: Vec<String> = request.messages.iter().map(|m| m.content.clone()).collect();
-    let cached_bytes = api.runs.take_prompt(&messages);
+    let cached_bytes = api.runs.cache_prompt(&messages);
     let prompt_bytes: usize = messages.iter().map(String::len).sum();
     let prefill_us = api.runs.settings.prefill_us_per_byte * (prompt_bytes - cached_bytes) as u64;
     pause(Duration::from_micros(prefill_us)).await;
     let answer = Arc::new(Answer::new(&id, &request, cached_bytes));
-    api.runs.keep_answer(&id, answer.clone());
+    api.runs.store_answer(&id, answer.clone());
     let token_time = Duration::from_millis(api.runs.settings.token_ms);
     if request.stream {
         return stream(answer, 0, token_time, Some(run), faults);
     }
     pause(token_time * answer.event_count() as u32).await;
     run.finish();
-    Json(answer.whole()).into_response()
+    Json(answer.completion()).into_response()
 }
 
 async fn resume(
@@ -125,9 +125,9 @@
 ) -> Response {
     let faults = api.faults.get();
     if faults.down || faults.refuse {
-        return refusal("refused");
+        return not_started("refused");
     }
-    let Some(answer) = api.runs.answer_of(&request) else {
+    let Some(answer) = api.runs.find_answer(&request) else {
         return StatusCode::NOT_FOUND.into_response();
     };
     let token_time = Duration::from_millis(api.runs.settings.token_ms);
@@ -146,10 +146,10 @@
     Sse::new(ReceiverStream::new(rx)).into_response()
 }
 
-/// The stream ends without its end, as when the engine dies.
+/// Aborts the stream without its final event, as a crash of the engine does.
 #[derive(Debug, thiserror::Error)]
 #[error("stream broken by a fault")]
-struct Broken;
+struct StreamBroken;
 
 async fn send_events(
     answer: Arc<Answer>,
@@ -157,17 +157,16 @@
     token_time: Duration,
     run: Option<Run>,
     faults: Faults,
-    tx: mpsc::Sender<Result<Event, Broken>>,
+    tx: mpsc::Sender<Result<Event, StreamBroken>>,
 ) {
-    let dropped = answer.event_count() / 2;
+    let dropped_index = answer.event_count() / 2;
     for i in offset..answer.event_count() {
         if faults.break_after > 0 && i >= offset + faults.break_after {
-            // What was sent arrives before the connection breaks.
-            tokio::time::sleep(BREAK_PAUSE).await;
-            let _reader_gone = tx.send(Err(Broken)).await;
+            tokio::time::sleep(BREAK_DELAY).await;
+            let _client_gone = tx.send(Err(StreamBroken)).await;
             return;
         }
-        if faults.drop_event && run.is_some() && i == dropped {
+        if faults.drop_event && run.is_some() && i == dropped_index {
             continue;
         }
         let copies = if faults.duplicate_events { 2 } else { 1 };
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,11 +1,11 @@
-//! A model engine: batches with a limited number of slots, caches prefixes,
-//! streams, resumes, cancels, and reports its load with a lag.
+//! A model engine with limited batch slots, a prefix cache, resumable streams,
+//! cancellation and delayed load reports.
 //!
-//! It speaks the OpenAI-style chat completions API. Beside it:
+//! It serves the OpenAI-style chat completions API and:
 //!
-//! - `GET /load`: the load report, as old as the set lag.
-//! - `GET /v1/streams/{request}?offset=N`: a stream again, from an event on.
-//! - `POST /leave`: take no new work, finish what runs.
+//! - `GET /load`: the load report, delayed by the configured lag.
+//! - `GET /v1/streams/{request}?offset=N`: resumes a stream at event `N`.
+//! - `POST /leave`: rejects new requests and finishes those in progress.
 //! - `GET /counts`, `POST /faults`: for tests.
 
 mod answer;
@@ -27,17 +27,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Requests that run at once.
+    /// Maximum number of requests running concurrently.
     pub slots: usize,
-    /// Limit of the prefix cache.
+    /// Capacity of the prefix cache.
     pub cache_bytes: usize,
-    /// Time to process one uncached prompt byte.
+    /// Processing time per uncached prompt byte.
     pub prefill_us_per_byte: u64,
-    /// Time from one token to the next.
+    /// Interval between tokens.
     pub token_ms: u64,
-    /// Age of the load report.
+    /// Delay of the load report.
     pub report_lag_ms: u64,
 }
 
@@ -54,32 +54,32 @@
     }
 }
 
-/// A running engine; it ends when this is dropped.
+/// Handle to a running engine, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct EngineHandle {
     server: RunningServer,
     runs: Arc<Runs>,
-    /// Its faults.
+    /// Faults of the engine.
     pub faults: SharedFaults,
 }
 
 impl EngineHandle {
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// What it ran so far.
+    /// Counts since the engine started.
     pub fn counts(&self) -> EngineCounts {
         self.runs.counts()
     }
 
-    /// How often it ran a request.
-    pub fn runs_of(&self, request: &str) -> u32 {
-        self.runs.runs_of(request)
+    /// Number of times a request ran.
+    pub fn run_count(&self, request: &str) -> u32 {
+        self.runs.run_count(request)
     }
 
-    /// Takes no new work from now on.
+    /// Makes the engine reject new requests.
     pub fn leave(&self) {
         self.runs.leave();
     }
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 ///
-/// If its address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_engine(settings: EngineSettings) -> io::Result<EngineHandle> {
     let faults = SharedFaults::default();
     let listen = settings.listen;
--- a/crates/standin/src/engine/runs.rs
+++ b/crates/standin/src/engine/runs.rs
@@ -1,4 +1,4 @@
-//! What an engine runs: its slots, cache, counts and load report.
+//! State of an engine: slots, prefix cache, counts and load reports.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -13,25 +13,25 @@
 use super::answer::Answer;
 use crate::prefix_cache::{PrefixCache, prefix_hashes};
 
-/// Answers kept for resumption.
-const KEPT_ANSWERS: usize = 4_096;
-/// Load samples kept to answer late.
-const KEPT_LOADS: usize = 1_024;
+/// Maximum number of answers retained for resumption.
+const MAX_ANSWERS: usize = 4_096;
+/// Maximum number of load samples retained for delayed reports.
+const MAX_LOAD_SAMPLES: usize = 1_024;
 
-/// Counts of an engine since it started.
+/// Counts since the engine started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// Requests that began to run.
+    /// Requests accepted.
     pub started: u64,
-    /// Requests that ran to their end.
+    /// Requests completed.
     pub finished: u64,
-    /// Requests whose caller went away.
+    /// Requests whose caller disconnected.
     pub cancelled: u64,
-    /// Requests that found at least half of their prompt cached.
+    /// Requests with at least half of the prompt cached.
     pub warm: u64,
-    /// Requests refused, since it leaves or by a fault.
+    /// Requests refused because the engine is leaving or by a fault.
     pub refused: u64,
-    /// Requests running or waiting now.
+    /// Requests currently running or waiting.
     pub in_progress: usize,
 }
 
@@ -40,9 +40,9 @@
 pub(super) struct LoadReport {
     /// Requests running or waiting.
     pub(super) in_progress: usize,
-    /// Requests that can run at once.
+    /// Maximum number of requests running concurrently.
     pub(super) slots: usize,
-    /// Whether it takes no new work.
+    /// Whether the engine rejects new requests.
     pub(super) leaving: bool,
 }
 
@@ -63,13 +63,13 @@
 #[derive(Debug)]
 struct State {
     cache: PrefixCache,
-    by_request: HashMap<String, u32>,
+    run_counts: HashMap<String, u32>,
     answers: HashMap<String, Arc<Answer>>,
     answer_order: VecDeque<String>,
-    loads: VecDeque<(Instant, usize)>,
+    load_samples: VecDeque<(Instant, usize)>,
 }
 
-/// A request that runs; dropped before its end, it counts as cancelled.
+/// A request in progress, counted as cancelled if dropped before [`Run::finish`].
 #[derive(Debug)]
 pub(super) struct Run {
     runs: Arc<Runs>,
@@ -92,15 +92,15 @@
             in_progress: AtomicUsize::new(0),
             state: Mutex::new(State {
                 cache,
-                by_request: HashMap::new(),
+                run_counts: HashMap::new(),
                 answers: HashMap::new(),
                 answer_order: VecDeque::new(),
-                loads: VecDeque::new(),
+                load_samples: VecDeque::new(),
             }),
         })
     }
 
-    /// Begins a run, or `None` if the engine is leaving.
+    /// Begins a request, or returns `None` if the engine is leaving.
     pub(super) fn begin(self: &Arc<Self>, request: &str) -> Option<Run> {
         if self.leaving.load(Ordering::SeqCst) {
             return None;
@@ -109,7 +109,7 @@
         self.change_load(1);
         *self
             .state()
-            .by_request
+            .run_counts
             .entry(request.to_owned())
             .or_default() += 1;
         Some(Run {
@@ -119,14 +119,12 @@
         })
     }
 
-    /// A request was refused.
-    pub(super) fn refuse(&self) {
+    pub(super) fn count_refusal(&self) {
         self.refused.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Looks a prompt up in the cache, and takes it in. Returns the bytes
-    /// that were cached.
-    pub(super) fn take_prompt(&self, messages: &[String]) -> usize {
+    /// Adds a prompt to the cache and returns how many of its bytes were already cached.
+    pub(super) fn cache_prompt(&self, messages: &[String]) -> usize {
         let prefixes = prefix_hashes(messages.iter().map(String::as_str));
         let total: usize = prefixes.iter().map(|(_, bytes)| bytes).sum();
         let mut state = self.state();
@@ -138,23 +136,23 @@
         cached
     }
 
-    pub(super) fn keep_answer(&self, request: &str, answer: Arc<Answer>) {
+    pub(super) fn store_answer(&self, request: &str, answer: Arc<Answer>) {
         let mut state = self.state();
         state.answers.insert(request.to_owned(), answer);
         state.answer_order.push_back(request.to_owned());
-        if state.answer_order.len() > KEPT_ANSWERS
+        if state.answer_order.len() > MAX_ANSWERS
             && let Some(oldest) = state.answer_order.pop_front()
         {
             state.answers.remove(&oldest);
         }
     }
 
-    pub(super) fn answer_of(&self, request: &str) -> Option<Arc<Answer>> {
+    pub(super) fn find_answer(&self, request: &str) -> Option<Arc<Answer>> {
         self.state().answers.get(request).cloned()
     }
 
-    pub(super) fn runs_of(&self, request: &str) -> u32 {
-        self.state().by_request.get(request).copied().unwrap_or(0)
+    pub(super) fn run_count(&self, request: &str) -> u32 {
+        self.state().run_counts.get(request).copied().unwrap_or(0)
     }
 
     pub(super) fn leave(&self) {
@@ -172,33 +170,33 @@
         }
     }
 
-    /// The load as it was `report_lag_ms` ago. Leaving is told without lag.
+    /// Returns the load as of `report_lag_ms` ago. Leaving is reported without lag.
     pub(super) fn report(&self) -> LoadReport {
         let lag = Duration::from_millis(self.settings.report_lag_ms);
         let now = Instant::now();
         let state = self.state();
-        let then = state
-            .loads
+        let sample = state
+            .load_samples
             .iter()
             .rev()
             .find(|(at, _)| now.duration_since(*at) >= lag);
         LoadReport {
-            in_progress: then.map_or(0, |(_, load)| *load),
+            in_progress: sample.map_or(0, |(_, load)| *load),
             slots: self.settings.slots,
             leaving: self.leaving.load(Ordering::SeqCst),
         }
     }
 
-    fn change_load(&self, by: isize) {
+    fn change_load(&self, delta: isize) {
         let mut state = self.state();
         let load = self
             .in_progress
             .load(Ordering::SeqCst)
-            .saturating_add_signed(by);
+            .saturating_add_signed(delta);
         self.in_progress.store(load, Ordering::SeqCst);
-        state.loads.push_back((Instant::now(), load));
-        if state.loads.len() > KEPT_LOADS {
-            state.loads.pop_front();
+        state.load_samples.push_back((Instant::now(), load));
+        if state.load_samples.len() > MAX_LOAD_SAMPLES {
+            state.load_samples.pop_front();
         }
     }
 
@@ -208,12 +206,12 @@
 }
 
 impl Run {
-    /// Waits for a slot of the batch.
-    pub(super) async fn take_slot(&mut self) {
+    /// Waits for a free batch slot.
+    pub(super) async fn acquire_slot(&mut self) {
         self._slot = self.runs.slots.clone().acquire_owned().await.ok();
     }
 
-    /// The run came to its end.
+    /// Counts the request as finished.
     pub(super) fn finish(mut self) {
         self.finished = true;
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins of the systems that chalkrock serves, with switchable faults.
+//! Stand-ins for the external systems around chalkrock, with switchable faults.
 //!
-//! An engine, a plain service and the platform, each an HTTP server on an
-//! address of its own. Each records what it ran, so that tests can compare
-//! its counts with what callers were told. They take the place of the outside
-//! systems in tests and in the quickstart and say nothing about their speed.
+//! An engine, a plain service and the platform, each an HTTP server with its own
+//! address. Each counts the requests that it ran, so that tests can compare the
+//! counts with the outcomes reported to callers. They model the behaviour of the
+//! external systems, not their performance.
 //!
 //! # Example
 //!
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkrock-standin`: one stand-in as a process of its own.
+//! `chalkrock-standin`: runs one stand-in as a separate process.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 };
 use serde::Deserialize;
 
-/// Settings of the program: which stand-in, and its own settings.
+/// Settings of the program and of the stand-in that it runs.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Settings {
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP API: rows guarded by conditional requests.
+//! HTTP API of the platform, with conditional requests for table rows.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use axum::{Json, Router};
 use chalkrock_core::HostList;
 
-use super::store::{Call, Expect, RowWrite, Store, Written};
+use super::store::{CallKind, Condition, RowWrite, Store, WriteOutcome};
 use crate::faults::{Faults, SharedFaults};
 
 #[derive(Clone)]
@@ -28,29 +28,29 @@
         .route("/v1/table-batch", post(write_batch))
         .route("/v1/objects/{key}", get(read_object).put(write_object))
         .route("/v1/hosts", get(hosts))
-        .layer(middleware::from_fn_with_state(api.clone(), with_faults))
+        .layer(middleware::from_fn_with_state(api.clone(), apply_faults))
         .route("/hosts", post(set_hosts))
         .route("/faults", post(set_faults))
         .with_state(api)
 }
 
-/// Faults and limits around each call.
-async fn with_faults(State(api): State<Api>, request: Request, next: Next) -> Response {
+/// Applies faults and rate limits to each call.
+async fn apply_faults(State(api): State<Api>, request: Request, next: Next) -> Response {
     if api.faults.get().down {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
-    let call = if request.method() == Method::GET {
-        Call::Read
+    let kind = if request.method() == Method::GET {
+        CallKind::Read
     } else {
-        Call::Write
+        CallKind::Write
     };
-    if !api.store.admit(call) {
+    if !api.store.admit(kind) {
         return StatusCode::TOO_MANY_REQUESTS.into_response();
     }
-    api.faults.slow().await;
+    api.faults.delay().await;
     let response = next.run(request).await;
-    let loses = matches!(call, Call::Write) && api.faults.get().lose_answers;
-    if loses {
+    let loses_answer = matches!(kind, CallKind::Write) && api.faults.get().lose_answers;
+    if loses_answer {
         return StatusCode::GATEWAY_TIMEOUT.into_response();
     }
     response
@@ -58,7 +58,7 @@
 
 async fn read_row(State(api): State<Api>, Path(key): Path<String>) -> Response {
     match api.store.read(&key) {
-        Some(row) => (tag(row.version), row.value).into_response(),
+        Some(row) => (etag(row.version), row.value).into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
 }
@@ -69,12 +69,12 @@
     headers: HeaderMap,
     value: String,
 ) -> Response {
-    let Some(expect) = expectation(&headers) else {
+    let Some(expect) = parse_condition(&headers) else {
         return StatusCode::PRECONDITION_REQUIRED.into_response();
     };
     match api.store.write(RowWrite { key, value, expect }) {
-        Written::Written(version) => tag(version).into_response(),
-        Written::Conflict(row) => (StatusCode::PRECONDITION_FAILED, Json(row)).into_response(),
+        WriteOutcome::Written(version) => etag(version).into_response(),
+        WriteOutcome::Conflict(row) => (StatusCode::PRECONDITION_FAILED, Json(row)).into_response(),
     }
 }
 
@@ -99,14 +99,14 @@
     let text = serde_json::to_string(&list).unwrap_or_default();
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
-    let tag = format!("\"{:016x}\"", hasher.finish());
+    let etag = format!("\"{:016x}\"", hasher.finish());
     if headers
         .get(IF_NONE_MATCH)
-        .is_some_and(|known| known == tag.as_str())
+        .is_some_and(|known| known == etag.as_str())
     {
         return StatusCode::NOT_MODIFIED.into_response();
     }
-    ([(ETAG, tag)], text).into_response()
+    ([(ETAG, etag)], text).into_response()
 }
 
 async fn set_hosts(State(api): State<Api>, Json(hosts): Json<HostList>) -> StatusCode {
@@ -119,14 +119,14 @@
     StatusCode::OK
 }
 
-fn tag(version: u64) -> [(axum::http::HeaderName, String); 1] {
+fn etag(version: u64) -> [(axum::http::HeaderName, String); 1] {
     [(ETAG, format!("\"{version}\""))]
 }
 
-fn expectation(headers: &HeaderMap) -> Option<Expect> {
+fn parse_condition(headers: &HeaderMap) -> Option<Condition> {
     if headers.get(IF_NONE_MATCH).is_some_and(|value| value == "*") {
-        return Some(Expect::Absent);
+        return Some(Condition::Absent);
     }
     let tag = headers.get(IF_MATCH)?.to_str().ok()?;
-    tag.trim_matches('"').parse().ok().map(Expect::Version)
+    tag.trim_matches('"').parse().ok().map(Condition::Version)
 }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform: a transactional table, objects, the lagging host list, and
-//! limits per second, with the faults of the real one.
+//! The platform: a transactional table, objects, a delayed host list and rate
+//! limits, with switchable faults.
 
 mod api;
 mod store;
@@ -19,15 +19,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Writes a second that it accepts.
+    /// Maximum write calls per second.
     pub writes_per_second: u32,
-    /// Reads a second that it answers.
+    /// Maximum read calls per second.
     pub reads_per_second: u32,
-    /// Age of the host list that it shows.
+    /// Delay until a new host list becomes visible.
     pub list_lag_ms: u64,
-    /// Hosts and endpoints that it starts with.
+    /// Initial hosts and endpoints.
     pub hosts: HostList,
 }
 
@@ -43,32 +43,32 @@
     }
 }
 
-/// A running platform; it ends when this is dropped.
+/// Handle to a running platform, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct PlatformHandle {
     server: RunningServer,
     store: Arc<Store>,
-    /// Its faults.
+    /// Faults of the platform.
     pub faults: SharedFaults,
 }
 
 impl PlatformHandle {
-    /// Where it listens.
+    /// Address that the platform listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Its base URL.
+    /// Base URL of the platform.
     pub fn url(&self) -> String {
         format!("http://{}", self.address())
     }
 
-    /// Replaces the host list; it shows after the set lag.
+    /// Replaces the host list, which becomes visible after the configured lag.
     pub fn set_hosts(&self, hosts: HostList) {
         self.store.set_hosts(hosts);
     }
 
-    /// Writes accepted since it started.
+    /// Number of write calls accepted since the platform started.
     pub fn accepted_writes(&self) -> u64 {
         self.store.accepted_writes()
     }
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 ///
-/// If its address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_platform(settings: PlatformSettings) -> io::Result<PlatformHandle> {
     let faults = SharedFaults::default();
     let listen = settings.listen;
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's state, without HTTP.
+//! Table, objects, host lists and rate limits of the platform.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -19,10 +19,10 @@
     pub(super) value: String,
 }
 
-/// What a write expects.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum Expect {
+pub(super) enum Condition {
     Absent,
     Version(u64),
 }
@@ -32,20 +32,20 @@
 pub(super) struct RowWrite {
     pub(super) key: String,
     pub(super) value: String,
-    pub(super) expect: Expect,
+    pub(super) expect: Condition,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum Written {
+pub(super) enum WriteOutcome {
     Written(u64),
     Conflict(Option<Row>),
 }
 
-/// What a limit counts.
+/// Kind of call, each with its own rate limit.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Call {
+pub(super) enum CallKind {
     Read,
     Write,
 }
@@ -60,7 +60,7 @@
 struct State {
     rows: HashMap<String, Row>,
     objects: HashMap<String, String>,
-    lists: VecDeque<(Instant, HostList)>,
+    host_lists: VecDeque<(Instant, HostList)>,
     reads: VecDeque<Instant>,
     writes: VecDeque<Instant>,
     accepted_writes: u64,
@@ -69,24 +69,24 @@
 
 impl Store {
     pub(super) fn new(settings: PlatformSettings) -> Self {
-        let first = settings.hosts.clone();
+        let initial = settings.hosts.clone();
         let mut state = State::default();
-        // The first list is shown at once: it stands for a long past.
-        let long_ago = Instant::now() - Duration::from_millis(settings.list_lag_ms);
-        state.lists.push_back((long_ago, first));
+        // Backdated by the lag, so that the initial list is visible at once.
+        let listed_at = Instant::now() - Duration::from_millis(settings.list_lag_ms);
+        state.host_lists.push_back((listed_at, initial));
         Self {
             settings,
             state: Mutex::new(state),
         }
     }
 
-    /// Takes one call from the limit per second, or `false` if it is spent.
-    pub(super) fn admit(&self, call: Call) -> bool {
+    /// Counts a call against its rate limit, or returns `false` if the limit is reached.
+    pub(super) fn admit(&self, kind: CallKind) -> bool {
         let now = Instant::now();
         let mut state = self.state();
-        let (calls, limit) = match call {
-            Call::Read => (&mut state.reads, self.settings.reads_per_second),
-            Call::Write => (&mut state.writes, self.settings.writes_per_second),
+        let (calls, limit) = match kind {
+            CallKind::Read => (&mut state.reads, self.settings.reads_per_second),
+            CallKind::Write => (&mut state.writes, self.settings.writes_per_second),
         };
         while calls
             .front()
@@ -105,12 +105,12 @@
         self.state().rows.get(key).cloned()
     }
 
-    pub(super) fn write(&self, write: RowWrite) -> Written {
+    pub(super) fn write(&self, write: RowWrite) -> WriteOutcome {
         self.write_all(vec![write]).remove(0)
     }
 
-    /// Each write on its own condition, all at one moment.
-    pub(super) fn write_all(&self, writes: Vec<RowWrite>) -> Vec<Written> {
+    /// Applies each write whose precondition holds, under one lock.
+    pub(super) fn write_all(&self, writes: Vec<RowWrite>) -> Vec<WriteOutcome> {
         let mut state = self.state();
         state.accepted_writes += 1;
         writes
@@ -130,20 +130,20 @@
     }
 
     pub(super) fn set_hosts(&self, hosts: HostList) {
-        self.state().lists.push_back((Instant::now(), hosts));
+        self.state().host_lists.push_back((Instant::now(), hosts));
     }
 
-    /// The newest list that is as old as the lag.
+    /// Returns the newest list that is at least as old as the lag.
     pub(super) fn hosts(&self) -> HostList {
         let lag = Duration::from_millis(self.settings.list_lag_ms);
         let now = Instant::now();
         let state = self.state();
-        let shown = state
-            .lists
+        let visible = state
+            .host_lists
             .iter()
             .rev()
             .find(|(at, _)| now.duration_since(*at) >= lag);
-        shown.map(|(_, list)| list.clone()).unwrap_or_default()
+        visible.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
     pub(super) fn accepted_writes(&self) -> u64 {
@@ -155,15 +155,15 @@
     }
 }
 
-fn write_one(state: &mut State, write: RowWrite) -> Written {
+fn write_one(state: &mut State, write: RowWrite) -> WriteOutcome {
     let current = state.rows.get(&write.key);
-    let as_expected = match (write.expect, current) {
-        (Expect::Absent, None) => true,
-        (Expect::Version(expected), Some(row)) => row.version == expected,
+    let matches = match (write.expect, current) {
+        (Condition::Absent, None) => true,
+        (Condition::Version(expected), Some(row)) => row.version == expected,
         _ => false,
     };
-    if !as_expected {
-        return Written::Conflict(current.cloned());
+    if !matches {
+        return WriteOutcome::Conflict(current.cloned());
     }
     state.last_version += 1;
     let version = state.last_version;
@@ -174,5 +174,5 @@
             value: write.value,
         },
     );
-    Written::Written(version)
+    WriteOutcome::Written(version)
 }
--- a/crates/standin/src/prefix_cache.rs
+++ b/crates/standin/src/prefix_cache.rs
@@ -1,26 +1,26 @@
-//! A prefix cache with a limit in bytes; what was used longest ago goes first.
+//! Least recently used cache of prompt prefixes, bounded in bytes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Prompt prefixes that the engine holds, by the hash of their messages.
+/// Cached prompt prefixes, keyed by the hash of their messages.
 #[derive(Debug)]
 pub struct PrefixCache {
     limit_bytes: usize,
     used_bytes: usize,
     clock: u64,
     entries: HashMap<u64, Entry>,
-    by_age: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
 }
 
 #[derive(Debug)]
 struct Entry {
     bytes: usize,
-    used_at: u64,
+    last_used: u64,
 }
 
-/// Hashes of each prefix of a list of messages, shortest first, with the
-/// bytes that each adds.
+/// Returns the hash of each prefix of a list of messages, shortest first, with
+/// the bytes that its last message adds.
 pub(crate) fn prefix_hashes<'a>(messages: impl Iterator<Item = &'a str>) -> Vec<(u64, usize)> {
     let mut hasher = DefaultHasher::new();
     let mut prefixes = Vec::new();
@@ -32,30 +32,30 @@
 }
 
 impl PrefixCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(limit_bytes: usize) -> Self {
         Self {
             limit_bytes,
             used_bytes: 0,
             clock: 0,
             entries: HashMap::new(),
-            by_age: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
         }
     }
 
-    /// Bytes of the longest prefix that is cached. It counts as used.
+    /// Returns the size of the longest cached prefix and marks it as used.
     pub fn look_up(&mut self, prefixes: &[(u64, usize)]) -> usize {
-        let mut found_bytes = 0;
+        let mut cached_bytes = 0;
         for (hash, bytes) in prefixes {
             if !self.touch(*hash) {
                 break;
             }
-            found_bytes += bytes;
+            cached_bytes += bytes;
         }
-        found_bytes
+        cached_bytes
     }
 
-    /// Takes prefixes in and evicts the oldest ones over the limit.
+    /// Adds prefixes and evicts the least recently used ones over the limit.
     pub fn insert(&mut self, prefixes: &[(u64, usize)]) {
         for (hash, bytes) in prefixes {
             if self.touch(*hash) {
@@ -66,16 +66,16 @@
                 *hash,
                 Entry {
                     bytes: *bytes,
-                    used_at: self.clock,
+                    last_used: self.clock,
                 },
             );
-            self.by_age.insert(self.clock, *hash);
+            self.by_last_use.insert(self.clock, *hash);
             self.used_bytes += bytes;
         }
         self.evict();
     }
 
-    /// Bytes in use.
+    /// Size of all cached prefixes.
     pub fn used_bytes(&self) -> usize {
         self.used_bytes
     }
@@ -84,16 +84,16 @@
         let Some(entry) = self.entries.get_mut(&hash) else {
             return false;
         };
-        self.by_age.remove(&entry.used_at);
+        self.by_last_use.remove(&entry.last_used);
         self.clock += 1;
-        entry.used_at = self.clock;
-        self.by_age.insert(self.clock, hash);
+        entry.last_used = self.clock;
+        self.by_last_use.insert(self.clock, hash);
         true
     }
 
     fn evict(&mut self) {
         while self.used_bytes > self.limit_bytes {
-            let Some((_, hash)) = self.by_age.pop_first() else {
+            let Some((_, hash)) = self.by_last_use.pop_first() else {
                 return;
             };
             if let Some(entry) = self.entries.remove(&hash) {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,5 +1,5 @@
-//! Starts an HTTP server on a runtime of its own. When its handle is dropped,
-//! it dies as a process would: its connections break.
+//! HTTP server on its own runtime. Dropping its handle breaks all connections, as
+//! a crash of a process does.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
 
-/// Threads of one server.
+/// Worker threads per server.
 const WORKER_THREADS: usize = 2;
 
-/// A server that listens until this is dropped.
+/// A running HTTP server, stopped when dropped.
 #[derive(Debug)]
 pub struct RunningServer {
     address: SocketAddr,
@@ -20,11 +20,11 @@
 }
 
 impl RunningServer {
-    /// Serves `app` at an address; port 0 picks a free one.
+    /// Serves `app` at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// If the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start(listen: SocketAddr, app: Router) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
@@ -44,17 +44,17 @@
         })
     }
 
-    /// The address it listens on.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
 async fn serve(listener: std::net::TcpListener, app: Router) -> io::Result<()> {
-    // Without this, small writes wait 40 ms for a delayed acknowledgement.
+    // Nagle's algorithm would hold small writes until a delayed acknowledgement.
     let listener = TcpListener::from_std(listener)?.tap_io(|stream| {
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!(target: "standin", "No nodelay: {error}.");
+            log::debug!(target: "standin", "Can't set TCP_NODELAY: {error}.");
         }
     });
     axum::serve(listener, app).await
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts its runs by request id.
+//! A plain service that counts runs by request id.
 
 use std::collections::HashMap;
 use std::io;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
 }
 
@@ -35,28 +35,28 @@
 
 type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
 
-/// A running service; it ends when this is dropped.
+/// Handle to a running service, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct ServiceHandle {
     server: RunningServer,
     runs: RunCounts,
-    /// Its faults.
+    /// Faults of the service.
     pub faults: SharedFaults,
 }
 
 impl ServiceHandle {
-    /// Where it listens.
+    /// Address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// How often it ran a request.
-    pub fn runs_of(&self, request: &str) -> u32 {
+    /// Number of times a request ran.
+    pub fn run_count(&self, request: &str) -> u32 {
         let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.get(request).copied().unwrap_or(0)
     }
 
-    /// How many requests it ran.
+    /// Total number of runs.
     pub fn total_runs(&self) -> u32 {
         let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.values().sum()
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// If its address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_service(settings: ServiceSettings) -> io::Result<ServiceHandle> {
     let runs = RunCounts::default();
     let faults = SharedFaults::default();
@@ -131,9 +131,9 @@
         *count += 1;
         *count
     };
-    api.faults.slow().await;
+    api.faults.delay().await;
     if api.faults.get().lose_answers {
-        // The work is done, the caller never hears of it.
+        // Simulates an answer lost after the request ran.
         std::future::pending::<()>().await;
     }
     let path = uri.path();
