--- a/crates/e2e/src/calls.rs
+++ b/crates/e2e/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a test, as a caller would make them.
+//! Requests that a test sends as a caller.
 
 use chalkrock_core::Outcome;
 use eyre::eyre;
@@ -7,35 +7,35 @@
 
 use crate::cluster::{Cluster, MODEL, ORGANISATION_KEY, SERVICE};
 
-/// What a caller was told.
+/// Status and headers of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
-    /// The HTTP status.
+pub struct ResponseHead {
+    /// HTTP status.
     pub status: u16,
-    /// The outcome in the header.
+    /// Reported outcome, from the header or the end of the stream.
     pub outcome: Option<Outcome>,
-    /// The request's id.
-    pub request: String,
-    /// Seconds after which to come back.
+    /// Request id.
+    pub request_id: String,
+    /// Value of the `retry-after` header.
     pub retry_after_s: Option<u32>,
 }
 
-/// A chat's answer.
+/// Response to a chat request.
 #[derive(Clone, Debug)]
 pub struct ChatAnswer {
-    /// What the head told.
-    pub told: Told,
-    /// The text of the answer.
+    /// Status and headers.
+    pub head: ResponseHead,
+    /// Text of the answer.
     pub text: String,
-    /// The whole body.
+    /// Raw body.
     pub body: String,
-    /// The affinity hint.
+    /// Affinity hint for the next request.
     pub affinity: Option<String>,
 }
 
-impl Told {
-    /// Reads what an answer's head tells.
-    pub fn of(response: &Response) -> Self {
+impl ResponseHead {
+    /// Reads the status and headers of a response.
+    pub fn from_response(response: &Response) -> Self {
         let header = |name: &str| {
             let value = response
                 .headers()
@@ -47,14 +47,14 @@
         Self {
             status: response.status().as_u16(),
             outcome: outcome.and_then(|text| serde_json::from_value(Value::String(text)).ok()),
-            request: header("x-request-id").unwrap_or_default(),
+            request_id: header("x-request-id").unwrap_or_default(),
             retry_after_s: header("retry-after").and_then(|text| text.parse().ok()),
         }
     }
 }
 
 impl Cluster {
-    /// A chat request to a host, not sent yet.
+    /// Builds a chat request to a host.
     pub fn chat_call(&self, host: usize, nonce: &str, stream: bool) -> RequestBuilder {
         let url = format!(
             "http://{}/v1/chat/completions",
@@ -67,16 +67,16 @@
             .json(&json!({"model": MODEL, "stream": stream, "messages": messages}))
     }
 
-    /// Sends a chat request and reads the whole answer.
+    /// Sends a chat request and reads the complete answer.
     ///
     /// # Errors
     ///
-    /// If the connection breaks.
+    /// Returns an error if the connection breaks or the answer is incomplete.
     pub async fn chat(&self, host: usize, nonce: &str, stream: bool) -> eyre::Result<ChatAnswer> {
         read_chat(self.chat_call(host, nonce, stream).send().await?).await
     }
 
-    /// Calls the service, not sent yet.
+    /// Builds a request to the service.
     pub fn service_call(&self, host: usize, path: &str) -> RequestBuilder {
         let router = self.hosts[host].router.address(0);
         let url = format!("http://{router}/services/{SERVICE}/{path}");
@@ -87,35 +87,35 @@
     }
 }
 
-/// Reads a chat's answer, streamed or whole.
+/// Reads the answer to a chat request, streamed or not.
 ///
 /// # Errors
 ///
-/// If the connection breaks.
+/// Returns an error if the connection breaks or the answer is incomplete.
 pub async fn read_chat(response: Response) -> eyre::Result<ChatAnswer> {
-    let mut told = Told::of(&response);
+    let mut head = ResponseHead::from_response(&response);
     let affinity = response.headers().get("chalkrock-affinity");
     let affinity = affinity
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned);
     let body = response.text().await?;
     let text = match body.starts_with('{') {
-        true => whole_text(&body)?,
+        true => completion_text(&body)?,
         false => {
             let (text, outcome) = stream_text(&body)?;
-            told.outcome = outcome;
+            head.outcome = outcome;
             text
         }
     };
     Ok(ChatAnswer {
-        told,
+        head,
         text,
         body,
         affinity,
     })
 }
 
-fn whole_text(body: &str) -> eyre::Result<String> {
+fn completion_text(body: &str) -> eyre::Result<String> {
     let body: Value = serde_json::from_str(body)?;
     Ok(body["choices"][0]["message"]["content"]
         .as_str()
@@ -123,8 +123,8 @@
         .to_owned())
 }
 
-/// The text of a stream that came to its end, and the outcome that it tells;
-/// an error if it did not.
+/// Returns the text and the outcome of a stream, or an error if the stream is
+/// incomplete.
 fn stream_text(body: &str) -> eyre::Result<(String, Option<Outcome>)> {
     let mut text = String::new();
     let mut outcome = None;
@@ -136,8 +136,8 @@
             return Ok((text, outcome));
         }
         let chunk: Value = serde_json::from_str(data)?;
-        if let Some(told) = chunk.get("chalkrock") {
-            outcome = serde_json::from_value(told["outcome"].clone()).ok();
+        if let Some(metadata) = chunk.get("chalkrock") {
+            outcome = serde_json::from_value(metadata["outcome"].clone()).ok();
         }
         if let Some(content) = chunk["choices"][0]["delta"]["content"].as_str() {
             text.push_str(content);
--- a/crates/e2e/src/cluster.rs
+++ b/crates/e2e/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A fleet of real routers and agents before embedded stand-ins.
+//! A fleet of real routers and agents with embedded stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,70 +16,70 @@
 
 use crate::program::Program;
 
-/// The model that the engines serve.
+/// Model that the engines serve.
 pub const MODEL: &str = "test-model";
-/// The plain service.
+/// Name of the plain service.
 pub const SERVICE: &str = "ledger";
-/// The key of the organisation `caller`.
+/// API key of the organisation `caller`.
 pub const ORGANISATION_KEY: &str = "key-caller";
-/// The key of the organisation `other`.
+/// API key of the organisation `other`.
 pub const OTHER_KEY: &str = "key-other";
-/// The operators' key.
+/// API key of the operators.
 pub const OPERATOR_KEY: &str = "key-operator";
 const FLEET_KEY: &str = "test-fleet-key";
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-const READY_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How many parts a cluster has, and how its engines behave.
+/// Size of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterSize {
-    /// Hosts, each with a router and an agent.
+    /// Number of hosts, each with a router and an agent.
     pub hosts: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of endpoints of the plain service.
     pub services: usize,
 }
 
-/// One host: an agent and a router.
+/// Programs of one host.
 #[derive(Debug)]
 pub struct HostPrograms {
-    /// Its agent.
+    /// Agent of the host.
     pub agent: Program,
-    /// Its router.
+    /// Router of the host.
     pub router: Program,
 }
 
-/// A running fleet; all of it ends when this is dropped.
+/// A running fleet, which stops when dropped.
 pub struct Cluster {
-    /// The platform.
+    /// Stand-in platform.
     pub platform: PlatformHandle,
-    /// The engines.
+    /// Stand-in engines.
     pub engines: Vec<EngineHandle>,
-    /// The service's replicas.
+    /// Endpoints of the plain service.
     pub services: Vec<ServiceHandle>,
-    /// The hosts.
+    /// Hosts of the fleet.
     pub hosts: Vec<HostPrograms>,
-    /// For calls of the test.
+    /// Client for requests of the test.
     pub client: reqwest::Client,
-    list: HostList,
+    host_list: HostList,
 }
 
 impl Cluster {
-    /// Starts a cluster whose engines answer at once.
+    /// Starts a cluster with default engine settings.
     ///
     /// # Errors
     ///
-    /// If a part can't start.
+    /// Returns an error if a component can't start.
     pub async fn start(size: ClusterSize) -> eyre::Result<Self> {
         Self::start_with(size, EngineSettings::default()).await
     }
 
-    /// Starts a cluster with settings for its engines.
+    /// Starts a cluster with the given engine settings.
     ///
     /// # Errors
     ///
-    /// If a part can't start.
+    /// Returns an error if a component can't start.
     pub async fn start_with(size: ClusterSize, engine: EngineSettings) -> eyre::Result<Self> {
         let platform = start_platform(PlatformSettings::default()).await?;
         let mut engines = Vec::new();
@@ -96,13 +96,13 @@
             services,
             hosts: Vec::new(),
             client: reqwest::Client::builder().no_proxy().build()?,
-            list: HostList::default(),
+            host_list: HostList::default(),
         };
         cluster
-            .submit(&cluster.first_config(), ConfigVersion(0), "first")
+            .submit(&cluster.initial_config(), ConfigVersion(0), "first")
             .await?;
-        cluster.list.endpoints = cluster.endpoints();
-        cluster.publish_list();
+        cluster.host_list.endpoints = cluster.endpoints();
+        cluster.publish_host_list();
         for _ in 0..size.hosts {
             cluster.add_host()?;
         }
@@ -110,16 +110,16 @@
         Ok(cluster)
     }
 
-    /// Starts one more host and lists it.
+    /// Starts another host and adds it to the host list.
     ///
     /// # Errors
     ///
-    /// If a program can't start.
+    /// Returns an error if a program can't start.
     pub fn add_host(&mut self) -> eyre::Result<()> {
         let i = self.hosts.len();
         let agent = Program::start("chalkrock-agent", &self.agent_settings(i))?;
         let router = Program::start("chalkrock-router", &router_settings(i, agent.address(0)))?;
-        self.list.hosts.push(Host {
+        self.host_list.hosts.push(Host {
             name: host_name(i).as_str().into(),
             zone: "zone-a".into(),
             agent_address: agent.address(0),
@@ -127,15 +127,15 @@
             state: HostState::Live,
         });
         self.hosts.push(HostPrograms { agent, router });
-        self.publish_list();
+        self.publish_host_list();
         Ok(())
     }
 
-    /// Starts a host's agent anew, as after a crash, and lists its new address.
+    /// Restarts a host's agent at its previous address.
     ///
     /// # Errors
     ///
-    /// If it can't start.
+    /// Returns an error if the program can't start.
     pub fn restart_agent(&mut self, i: usize) -> eyre::Result<()> {
         let listen = self.hosts[i].agent.address(0);
         let settings = self
@@ -150,52 +150,52 @@
         Ok(())
     }
 
-    /// Starts a host's router anew, at an address of its own.
+    /// Restarts a host's router at a new address.
     ///
     /// # Errors
     ///
-    /// If it can't start.
+    /// Returns an error if the program can't start.
     pub fn restart_router(&mut self, i: usize) -> eyre::Result<()> {
         let agent = self.hosts[i].agent.address(0);
         self.hosts[i].router = Program::start("chalkrock-router", &router_settings(i, agent))?;
         Ok(())
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds.
     ///
     /// # Errors
     ///
-    /// If it does not within half a minute.
-    pub async fn wait_until<F>(&self, what: &str, holds: impl Fn() -> F) -> eyre::Result<()>
+    /// Returns an error if the condition does not hold within 30 seconds.
+    pub async fn wait_until<F>(&self, event: &str, condition: impl Fn() -> F) -> eyre::Result<()>
     where
         F: Future<Output = bool>,
     {
-        let waiting = async {
-            while !holds().await {
-                tokio::time::sleep(READY_PAUSE).await;
+        let ready = async {
+            while !condition().await {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(READY_TIMEOUT, waiting).await.is_err() {
-            bail!("{what} did not come");
+        if tokio::time::timeout(READY_TIMEOUT, ready).await.is_err() {
+            bail!("timed out waiting for {event}");
         }
         Ok(())
     }
 
-    /// The list that the platform shows.
-    pub fn list_mut(&mut self) -> &mut HostList {
-        &mut self.list
+    /// Returns the host list, to be changed before [`Cluster::publish_host_list`].
+    pub fn host_list_mut(&mut self) -> &mut HostList {
+        &mut self.host_list
     }
 
-    /// Shows the list as it is now.
-    pub fn publish_list(&self) {
-        self.platform.set_hosts(self.list.clone());
+    /// Publishes the current host list on the platform.
+    pub fn publish_host_list(&self) {
+        self.platform.set_hosts(self.host_list.clone());
     }
 
     /// Submits a configuration.
     ///
     /// # Errors
     ///
-    /// If it is not accepted.
+    /// Returns an error if the platform does not accept it.
     pub async fn submit(
         &self,
         config: &FleetConfig,
@@ -212,8 +212,8 @@
         Ok(store.submit(config, expect, change).await?.version)
     }
 
-    /// The configuration that a cluster starts with.
-    pub fn first_config(&self) -> FleetConfig {
+    /// Returns the initial configuration of a cluster.
+    pub fn initial_config(&self) -> FleetConfig {
         let organisation = Organisation {
             name: "caller".into(),
             weight: 1,
@@ -246,13 +246,13 @@
         }
     }
 
-    /// The configuration version in force at a router, from its metrics.
-    pub async fn version_at(&self, host: usize) -> Option<u64> {
-        self.gauge_at(host, "config_version").await
+    /// Returns the active configuration version of a router, from its metrics.
+    pub async fn config_version(&self, host: usize) -> Option<u64> {
+        self.gauge(host, "config_version").await
     }
 
-    /// A gauge of a router, from its metrics.
-    pub async fn gauge_at(&self, host: usize, name: &str) -> Option<u64> {
+    /// Returns a gauge from a router's metrics.
+    pub async fn gauge(&self, host: usize, name: &str) -> Option<u64> {
         let url = format!("http://{}/metrics", self.hosts[host].router.address(1));
         let text = self.client.get(url).send().await.ok()?.text().await.ok()?;
         let prefix = format!("chalkrock_{name}{{");
@@ -260,31 +260,31 @@
         line.rsplit(' ').next()?.parse().ok()
     }
 
-    /// Waits until each router is ready.
+    /// Waits until all routers are ready and see all hosts.
     ///
     /// # Errors
     ///
-    /// If one is not within half a minute.
+    /// Returns an error if a router is not ready within 30 seconds.
     pub async fn wait_until_ready(&self) -> eyre::Result<()> {
-        let waiting = async {
+        let ready = async {
             for host in 0..self.hosts.len() {
                 while !self.is_ready(host).await {
-                    tokio::time::sleep(READY_PAUSE).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
         };
-        if tokio::time::timeout(READY_TIMEOUT, waiting).await.is_err() {
+        if tokio::time::timeout(READY_TIMEOUT, ready).await.is_err() {
             bail!("the routers did not become ready");
         }
         Ok(())
     }
 
-    /// Ready, with all hosts in its view.
+    /// Whether a router is ready and has all hosts in its view.
     async fn is_ready(&self, host: usize) -> bool {
         let url = format!("http://{}/readyz", self.hosts[host].router.address(1));
-        let answer = self.client.get(url).send().await;
-        let ready = answer.is_ok_and(|response| response.status().is_success());
-        ready && self.gauge_at(host, "view_hosts").await == Some(self.hosts.len() as u64)
+        let response = self.client.get(url).send().await;
+        let ready = response.is_ok_and(|response| response.status().is_success());
+        ready && self.gauge(host, "view_hosts").await == Some(self.hosts.len() as u64)
     }
 
     fn endpoints(&self) -> Vec<Endpoint> {
--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -1,8 +1,8 @@
-//! Runs chalkrock's programs as separate processes, for failure tests.
+//! Test harness that runs chalkrock's programs as separate processes.
 //!
-//! Routers and agents are the real programs, found beside the test's own
-//! binary; platform, engines and services are embedded stand-ins, so that a
-//! test can read their counts and switch their faults.
+//! Routers and agents are the real programs from the target directory of the test.
+//! The platform, engines and services are embedded stand-ins, so that a test can
+//! read their counts and set their faults.
 //!
 //! # Example
 //!
@@ -21,7 +21,7 @@
 mod cluster;
 mod program;
 
-pub use calls::{ChatAnswer, Told, read_chat};
+pub use calls::{ChatAnswer, ResponseHead, read_chat};
 pub use cluster::{
     Cluster, ClusterSize, HostPrograms, MODEL, OPERATOR_KEY, ORGANISATION_KEY, OTHER_KEY, SERVICE,
 };
--- a/crates/e2e/src/program.rs
+++ b/crates/e2e/src/program.rs
@@ -1,4 +1,4 @@
-//! One program as a child process, killed when dropped.
+//! A program as a child process, killed when dropped.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,10 +9,9 @@
 use eyre::{WrapErr, eyre};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// How often a child's end is looked for.
-const WAIT_PAUSE: Duration = Duration::from_millis(10);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running program.
+/// A running program and its listen addresses.
 #[derive(Debug)]
 pub struct Program {
     child: Child,
@@ -29,11 +28,11 @@
     }
 }
 
-/// The path of one of our programs: beside the running test.
+/// Returns the path of a program in the target directory of the running test.
 ///
 /// # Errors
 ///
-/// If the running test has no folder.
+/// Returns an error if the path of the running test is unknown.
 pub fn program_path(name: &str) -> eyre::Result<PathBuf> {
     let test = std::env::current_exe()?;
     let folder = test.parent().and_then(|deps| deps.parent());
@@ -42,12 +41,11 @@
 }
 
 impl Program {
-    /// Starts a program with settings, and waits until it says where it
-    /// listens.
+    /// Starts a program with settings and waits until it prints its addresses.
     ///
     /// # Errors
     ///
-    /// If it can't start or ends at once.
+    /// Returns an error if the program can't start or prints no address.
     pub fn start(name: &str, settings: &str) -> eyre::Result<Self> {
         let file = settings_file(name, settings)?;
         let mut child = Command::new(program_path(name)?)
@@ -61,7 +59,7 @@
         BufReader::new(stdout).read_line(&mut line)?;
         let addresses = line
             .split_whitespace()
-            .filter_map(|word| word.parse().ok())
+            .filter_map(|field| field.parse().ok())
             .collect();
         let program = Self {
             child,
@@ -69,65 +67,65 @@
             _settings: file,
         };
         if program.addresses.is_empty() {
-            return Err(eyre!("{name} said {line:?} instead of its addresses"));
+            return Err(eyre!("{name} printed {line:?} instead of its addresses"));
         }
         Ok(program)
     }
 
-    /// The addresses that it listens on, in the order it said them.
+    /// Returns the listen address at index `i`, in the order printed.
     pub fn address(&self, i: usize) -> SocketAddr {
         self.addresses[i]
     }
 
-    /// Ends it as a crash would.
+    /// Kills the program, as in a crash.
     ///
     /// # Errors
     ///
-    /// If it is gone already.
+    /// Returns an error if the program can't be killed.
     pub fn kill(&mut self) -> eyre::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Freezes it: it holds its connections and does nothing.
+    /// Suspends the program, which keeps its connections open.
     ///
     /// # Errors
     ///
-    /// If it is gone.
-    pub fn freeze(&self) -> eyre::Result<()> {
+    /// Returns an error if the signal can't be sent.
+    pub fn suspend(&self) -> eyre::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Thaws it.
+    /// Resumes the suspended program.
     ///
     /// # Errors
     ///
-    /// If it is gone.
-    pub fn thaw(&self) -> eyre::Result<()> {
+    /// Returns an error if the signal can't be sent.
+    pub fn resume(&self) -> eyre::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks it to stop as planned.
+    /// Requests a graceful stop.
     ///
     /// # Errors
     ///
-    /// If it is gone.
+    /// Returns an error if the signal can't be sent.
     pub fn terminate(&self) -> eyre::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Waits until it has ended.
+    /// Waits until the program exits.
     ///
     /// # Errors
     ///
-    /// If its status can't be read.
-    pub async fn ended(&mut self) -> eyre::Result<ExitStatus> {
+    /// Returns an error if the exit status can't be read.
+    pub async fn wait_for_exit(&mut self) -> eyre::Result<ExitStatus> {
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            tokio::time::sleep(WAIT_PAUSE).await;
+            tokio::time::sleep(EXIT_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/e2e/tests/at_most_once.rs
+++ b/crates/e2e/tests/at_most_once.rs
@@ -1,7 +1,7 @@
-//! At most once: keyed requests under repeats, outages and lost answers.
+//! Guards against running a request with an idempotency key more than once.
 
 use chalkrock_core::Outcome;
-use chalkrock_e2e::{Cluster, ClusterSize, Told};
+use chalkrock_e2e::{Cluster, ClusterSize, ResponseHead};
 use chalkrock_standin::Faults;
 use googletest::prelude::*;
 
@@ -11,11 +11,11 @@
     services: 2,
 };
 
-async fn keyed(cluster: &Cluster, host: usize, key: &str) -> eyre::Result<Told> {
+async fn send_keyed(cluster: &Cluster, host: usize, key: &str) -> eyre::Result<ResponseHead> {
     let call = cluster
         .service_call(host, "entries")
         .header("idempotency-key", key);
-    Ok(Told::of(&call.send().await?))
+    Ok(ResponseHead::from_response(&call.send().await?))
 }
 
 fn total_runs(cluster: &Cluster) -> u32 {
@@ -35,13 +35,13 @@
 #[tokio::test]
 async fn repeat_through_another_router_does_not_run() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
-    let first = keyed(&cluster, 0, "k").await?;
+    let first = send_keyed(&cluster, 0, "k").await?;
     assert_that!(first.outcome, some(eq(Outcome::Ran)));
     cluster
         .wait_until("the claim's end", async || {
-            keyed(&cluster, 1, "k")
+            send_keyed(&cluster, 1, "k")
                 .await
-                .is_ok_and(|told| told.status == 409)
+                .is_ok_and(|head| head.status == 409)
         })
         .await?;
     assert_that!(total_runs(&cluster), eq(1));
@@ -49,13 +49,13 @@
 }
 
 #[tokio::test]
-async fn repeats_at_once_through_all_routers_run_once() -> eyre::Result<()> {
+async fn concurrent_repeats_through_all_routers_run_once() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
-    let calls = (0..30).map(|i| keyed(&cluster, i % 3, "k"));
-    let told = futures::future::try_join_all(calls).await?;
-    let ran = told
+    let calls = (0..30).map(|i| send_keyed(&cluster, i % 3, "k"));
+    let heads = futures::future::try_join_all(calls).await?;
+    let ran = heads
         .iter()
-        .filter(|told| told.outcome == Some(Outcome::Ran))
+        .filter(|head| head.outcome == Some(Outcome::Ran))
         .count();
     assert_that!(ran, eq(1));
     assert_that!(total_runs(&cluster), eq(1));
@@ -69,12 +69,12 @@
         down: true,
         ..Default::default()
     });
-    let told = keyed(&cluster, 0, "k").await?;
-    assert_that!(told.status, eq(503));
-    assert_that!(told.outcome, some(eq(Outcome::NotRun)));
-    assert_that!(told.retry_after_s, some(gt(0)));
+    let head = send_keyed(&cluster, 0, "k").await?;
+    assert_that!(head.status, eq(503));
+    assert_that!(head.outcome, some(eq(Outcome::NotRun)));
+    assert_that!(head.retry_after_s, some(gt(0)));
     assert_that!(total_runs(&cluster), eq(0));
-    // Requests without a key need no claim, and go on.
+    // Requests without a key need no claim.
     let response = cluster.service_call(0, "entries").send().await?;
     assert_that!(response.status().as_u16(), eq(200));
     Ok(())
@@ -87,9 +87,9 @@
         lose_answers: true,
         ..Default::default()
     });
-    let told = keyed(&cluster, 0, "k").await?;
-    assert_that!(told.outcome, some(eq(Outcome::Ran)));
-    let repeat = keyed(&cluster, 1, "k").await?;
+    let head = send_keyed(&cluster, 0, "k").await?;
+    assert_that!(head.outcome, some(eq(Outcome::Ran)));
+    let repeat = send_keyed(&cluster, 1, "k").await?;
     assert_that!(repeat.status, eq(409));
     assert_that!(total_runs(&cluster), eq(1));
     Ok(())
@@ -105,14 +105,14 @@
             ..Default::default()
         },
     );
-    let told = keyed(&cluster, 0, "k").await?;
-    assert_that!(told.outcome, some(eq(Outcome::NotRun)));
+    let head = send_keyed(&cluster, 0, "k").await?;
+    assert_that!(head.outcome, some(eq(Outcome::NotRun)));
     set_service_faults(&cluster, &Faults::default());
     cluster
         .wait_until("the repeat", async || {
-            keyed(&cluster, 1, "k")
+            send_keyed(&cluster, 1, "k")
                 .await
-                .is_ok_and(|told| told.outcome == Some(Outcome::Ran))
+                .is_ok_and(|head| head.outcome == Some(Outcome::Ran))
         })
         .await?;
     assert_that!(total_runs(&cluster), eq(1));
@@ -122,18 +122,18 @@
 #[tokio::test]
 async fn key_with_another_body_is_refused() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
-    keyed(&cluster, 0, "k").await?;
+    send_keyed(&cluster, 0, "k").await?;
     let call = cluster
         .service_call(0, "entries")
         .header("idempotency-key", "k");
-    let told = Told::of(&call.body("another").send().await?);
-    assert_that!(told.status, eq(422));
+    let head = ResponseHead::from_response(&call.body("another").send().await?);
+    assert_that!(head.status, eq(422));
     assert_that!(total_runs(&cluster), eq(1));
     Ok(())
 }
 
 #[tokio::test]
-async fn answer_that_never_comes_is_unknown_and_not_repeated() -> eyre::Result<()> {
+async fn lost_answer_is_unknown_and_not_repeated() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
     set_service_faults(
         &cluster,
@@ -142,11 +142,11 @@
             ..Default::default()
         },
     );
-    let told = keyed(&cluster, 0, "k").await?;
-    assert_that!(told.status, eq(504));
-    assert_that!(told.outcome, some(eq(Outcome::Unknown)));
+    let head = send_keyed(&cluster, 0, "k").await?;
+    assert_that!(head.status, eq(504));
+    assert_that!(head.outcome, some(eq(Outcome::Unknown)));
     set_service_faults(&cluster, &Faults::default());
-    let repeat = keyed(&cluster, 1, "k").await?;
+    let repeat = send_keyed(&cluster, 1, "k").await?;
     assert_that!(repeat.status, eq(409));
     assert_that!(total_runs(&cluster), eq(1));
     Ok(())
@@ -165,24 +165,23 @@
     let call = cluster
         .service_call(0, "entries")
         .header("idempotency-key", "k");
-    let calling = tokio::spawn(call.send());
+    let call_task = tokio::spawn(call.send());
     cluster
         .wait_until("the run", async || total_runs(&cluster) == 1)
         .await?;
     cluster.hosts[0].router.kill()?;
-    assert_that!(calling.await?.is_err(), eq(true));
+    assert_that!(call_task.await?.is_err(), eq(true));
     set_service_faults(&cluster, &Faults::default());
-    let repeat = keyed(&cluster, 1, "k").await?;
+    let repeat = send_keyed(&cluster, 1, "k").await?;
     assert_that!(repeat.status, eq(409));
     assert_that!(total_runs(&cluster), eq(1));
     Ok(())
 }
 
 #[tokio::test]
-async fn router_frozen_over_its_claim_runs_it_once() -> eyre::Result<()> {
+async fn router_suspended_between_claim_and_dispatch_runs_once() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
-    // The claim's answer comes late, so that the router is frozen between
-    // claim and dispatch.
+    // Delays the claim's answer, so that the router is suspended before dispatch.
     cluster.platform.faults.set(Faults {
         slow_ms: 300,
         ..Default::default()
@@ -190,17 +189,17 @@
     let call = cluster
         .service_call(0, "entries")
         .header("idempotency-key", "k");
-    let calling = tokio::spawn(call.send());
+    let call_task = tokio::spawn(call.send());
     tokio::time::sleep(std::time::Duration::from_millis(150)).await;
-    cluster.hosts[0].router.freeze()?;
+    cluster.hosts[0].router.suspend()?;
     tokio::time::sleep(std::time::Duration::from_millis(600)).await;
     cluster.platform.faults.set(Faults::default());
-    let repeat = keyed(&cluster, 1, "k").await?;
-    cluster.hosts[0].router.thaw()?;
-    let thawed = Told::of(&calling.await??);
-    let ran = [&repeat, &thawed]
+    let repeat = send_keyed(&cluster, 1, "k").await?;
+    cluster.hosts[0].router.resume()?;
+    let resumed = ResponseHead::from_response(&call_task.await??);
+    let ran = [&repeat, &resumed]
         .iter()
-        .filter(|t| t.outcome == Some(Outcome::Ran))
+        .filter(|head| head.outcome == Some(Outcome::Ran))
         .count();
     assert_that!(ran, le(1));
     assert_that!(total_runs(&cluster), le(1));
--- a/crates/e2e/tests/bound.rs
+++ b/crates/e2e/tests/bound.rs
@@ -1,5 +1,5 @@
-//! The load bound with real processes: in steady load, and again after a host
-//! was killed.
+//! Guards against endpoints loaded beyond the pool's load multiple, in steady load
+//! and after the crash of a host.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -16,44 +16,42 @@
     services: 1,
 };
 const CALLERS: usize = 60;
-/// The pool's promise in the cluster's configuration.
+/// Load multiple of the pool in the cluster's configuration.
 const LOAD_MULTIPLE: f64 = 1.5;
-/// Requests by which the mean falls before an owner hears of it, when all that
-/// ends is over within a second or two.
-const MEAN_FALLS: f64 = 3.0;
-/// Share of samples that may fall so.
-const OVER_SHARE: f64 = 0.1;
-/// The tests of this file load the machine, and so take turns.
-static TURN: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
-/// New owners settle, and the callers fall out of step.
+/// Requests over the bound tolerated in a sample, as owners see a falling mean late.
+const MAX_EXCESS_REQUESTS: f64 = 3.0;
+/// Fraction of samples that may exceed the bound.
+const MAX_EXCESS_FRACTION: f64 = 0.1;
+/// Runs the tests of this file one at a time, as each needs the CPU.
+static CPU_LOCK: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
+/// Time for owners to settle and for callers to desynchronise.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// The host is off the list, its engines have new owners, and the requests that
-/// began before are over. Until then the mean is not known to anyone.
-const RECOVERED: Duration = Duration::from_secs(7);
-/// The platform's list shows a dead host for this long.
+/// Time for the host to be delisted, its engines to get new owners and earlier
+/// requests to end; until then no host knows the mean.
+const RECOVERY_TIME: Duration = Duration::from_secs(7);
+/// Time for which the platform still lists a crashed host.
 const LIST_LAG: Duration = Duration::from_secs(1);
-/// Requests that a sample may catch between an engine and its owner.
-const IN_FLIGHT: f64 = 1.0;
+/// Requests that an owner may not have counted yet when a sample is taken.
+const IN_FLIGHT_REQUESTS: f64 = 1.0;
 
-/// The worst samples of a run.
+/// Samples of the load bound in one run.
 #[derive(Debug, Default)]
-struct Worst {
-    samples: u32,
-    /// Samples with more than a request in flight over the promise.
-    over_samples: u32,
-    /// Largest load over what the promise allows, in requests.
-    over: f64,
+struct BoundSamples {
+    count: u32,
+    /// Samples over the bound by more than [`IN_FLIGHT_REQUESTS`].
+    excess_samples: u32,
+    /// Largest load over the bound, in requests.
+    excess: f64,
 }
 
-impl Worst {
-    /// A sample may fall between a request's end elsewhere and the moment when
-    /// owners hear of it; that is rare, and a matter of few requests.
+impl BoundSamples {
+    /// Tolerates few and small excesses, from ended requests not yet reported to owners.
     fn check(&self) {
-        assert_that!(self.samples, gt(50));
-        assert_that!(self.over, le(MEAN_FALLS));
+        assert_that!(self.count, gt(50));
+        assert_that!(self.excess, le(MAX_EXCESS_REQUESTS));
         assert_that!(
-            f64::from(self.over_samples),
-            le(OVER_SHARE * f64::from(self.samples))
+            f64::from(self.excess_samples),
+            le(MAX_EXCESS_FRACTION * f64::from(self.count))
         );
     }
 }
@@ -62,15 +60,15 @@
     cluster: &Cluster,
     stop: &Cell<bool>,
     caller: usize,
-    home: Option<&str>,
+    affinity: Option<&str>,
 ) -> u32 {
     let mut answered = 0;
-    let mut turn = caller;
+    let mut attempt = caller;
     while !stop.get() {
-        turn += 1;
-        // Answers of many lengths, so that they do not all end at once.
-        let tokens = 8 + (turn * 7 + caller * 11) % 40;
-        match call(cluster, turn % cluster.hosts.len(), tokens, home).await {
+        attempt += 1;
+        // Varies the answer length, so that requests do not end together.
+        let tokens = 8 + (attempt * 7 + caller * 11) % 40;
+        match call(cluster, attempt % cluster.hosts.len(), tokens, affinity).await {
             Ok(200) => answered += 1,
             _ => tokio::time::sleep(Duration::from_millis(20)).await,
         }
@@ -82,7 +80,7 @@
     cluster: &Cluster,
     host: usize,
     tokens: usize,
-    home: Option<&str>,
+    affinity: Option<&str>,
 ) -> eyre::Result<u16> {
     let body = json!({
         "model": MODEL,
@@ -91,8 +89,8 @@
         "messages": [{"role": "user", "content": format!("n{tokens}")}],
     });
     let mut call = cluster.chat_call(host, "n", true);
-    if let Some(home) = home {
-        call = call.header("chalkrock-affinity", home);
+    if let Some(affinity) = affinity {
+        call = call.header("chalkrock-affinity", affinity);
     }
     let response = call.json(&body).send().await?;
     let status = response.status().as_u16();
@@ -100,9 +98,9 @@
     Ok(status)
 }
 
-async fn sample_until(cluster: &Cluster, stop: &Cell<bool>, from: Duration) -> Worst {
-    let mut worst = Worst::default();
-    tokio::time::sleep(from).await;
+async fn sample_until(cluster: &Cluster, stop: &Cell<bool>, warm_up: Duration) -> BoundSamples {
+    let mut samples = BoundSamples::default();
+    tokio::time::sleep(warm_up).await;
     while !stop.get() {
         tokio::time::sleep(Duration::from_millis(20)).await;
         let loads: Vec<_> = cluster
@@ -113,38 +111,37 @@
         let mean = loads.iter().sum::<usize>() as f64 / loads.len() as f64;
         let max = loads.into_iter().max().unwrap_or(0) as f64;
         if mean >= MEAN_FLOOR {
-            worst.samples += 1;
-            let over = max - LOAD_MULTIPLE * mean;
-            worst.over_samples += u32::from(over > IN_FLIGHT);
-            worst.over = worst.over.max(over);
+            samples.count += 1;
+            let excess = max - LOAD_MULTIPLE * mean;
+            samples.excess_samples += u32::from(excess > IN_FLIGHT_REQUESTS);
+            samples.excess = samples.excess.max(excess);
         }
     }
-    worst
+    samples
 }
 
-/// Loads the cluster while `upset` runs, and gives the worst samples after
-/// the time `from`.
+/// Loads the cluster while `scenario` runs, and samples the load after `warm_up`.
 async fn load(
     cluster: &Cluster,
-    from: Duration,
-    home: Option<&str>,
-    upset: impl Future<Output = eyre::Result<()>>,
-) -> eyre::Result<Worst> {
+    warm_up: Duration,
+    affinity: Option<&str>,
+    scenario: impl Future<Output = eyre::Result<()>>,
+) -> eyre::Result<BoundSamples> {
     let stop = Cell::new(false);
-    let callers = (0..CALLERS).map(|caller| call_until(cluster, &stop, caller, home));
+    let callers = (0..CALLERS).map(|caller| call_until(cluster, &stop, caller, affinity));
     let ending = async {
-        let ended = upset.await;
+        let result = scenario.await;
         stop.set(true);
-        ended
+        result
     };
-    let (answered, worst, ended) = tokio::join!(
+    let (answered, samples, wait_for_exit) = tokio::join!(
         futures::future::join_all(callers),
-        sample_until(cluster, &stop, from),
+        sample_until(cluster, &stop, warm_up),
         ending
     );
-    ended?;
+    wait_for_exit?;
     assert_that!(answered.iter().sum::<u32>(), gt(100));
-    Ok(worst)
+    Ok(samples)
 }
 
 fn engine() -> EngineSettings {
@@ -156,24 +153,24 @@
 
 #[tokio::test]
 async fn bound_holds_in_steady_load() -> eyre::Result<()> {
-    let _turn = TURN.lock().await;
+    let _guard = CPU_LOCK.lock().await;
     let cluster = Cluster::start_with(SIZE, engine()).await?;
-    let worst = load(&cluster, WARM_UP, None, async {
+    let samples = load(&cluster, WARM_UP, None, async {
         tokio::time::sleep(Duration::from_secs(6)).await;
         Ok(())
     })
     .await?;
-    worst.check();
+    samples.check();
     Ok(())
 }
 
 #[tokio::test]
 async fn bound_holds_again_after_a_host_is_killed() -> eyre::Result<()> {
-    let _turn = TURN.lock().await;
+    let _guard = CPU_LOCK.lock().await;
     let mut cluster = Cluster::start_with(SIZE, engine()).await?;
     let mut host = cluster.hosts.pop();
-    let list = cluster.list_mut().clone();
-    let worst = load(&cluster, RECOVERED, None, async {
+    let list = cluster.host_list_mut().clone();
+    let samples = load(&cluster, RECOVERY_TIME, None, async {
         tokio::time::sleep(WARM_UP).await;
         if let Some(host) = &mut host {
             host.agent.kill()?;
@@ -187,22 +184,21 @@
         Ok(())
     })
     .await?;
-    worst.check();
+    samples.check();
     Ok(())
 }
 
-/// All chats have the same home. Without a bound it gets them all, 45 more than
-/// the promise allows.
+/// Guards against one engine receiving all chats that share its affinity.
 #[tokio::test]
-async fn bound_holds_for_one_home_of_all_chats() -> eyre::Result<()> {
-    let _turn = TURN.lock().await;
+async fn bound_holds_for_chats_with_one_affinity() -> eyre::Result<()> {
+    let _guard = CPU_LOCK.lock().await;
     let cluster = Cluster::start_with(SIZE, engine()).await?;
-    let home = cluster.chat(0, "home", false).await?.affinity;
-    let worst = load(&cluster, WARM_UP, home.as_deref(), async {
+    let affinity = cluster.chat(0, "home", false).await?.affinity;
+    let samples = load(&cluster, WARM_UP, affinity.as_deref(), async {
         tokio::time::sleep(Duration::from_secs(6)).await;
         Ok(())
     })
     .await?;
-    worst.check();
+    samples.check();
     Ok(())
 }
--- a/crates/e2e/tests/outcomes.rs
+++ b/crates/e2e/tests/outcomes.rs
@@ -1,10 +1,10 @@
-//! What callers are told, held against the stand-ins' own counts over seeded
-//! requests with faults.
+//! Guards against reported outcomes that differ from what the stand-ins ran, over
+//! seeded requests with faults.
 
 use std::time::Duration;
 
 use chalkrock_core::Outcome;
-use chalkrock_e2e::{Cluster, ClusterSize, Told};
+use chalkrock_e2e::{Cluster, ClusterSize, ResponseHead};
 use chalkrock_standin::Faults;
 use googletest::prelude::*;
 
@@ -14,12 +14,12 @@
     services: 2,
 };
 const REQUESTS: usize = 1_000;
-const AT_ONCE: usize = 20;
+const BATCH_SIZE: usize = 20;
 
-/// A small generator: the tests need the same faults in the same order.
-struct Seeded(u64);
+/// Linear congruential generator, for a reproducible sequence of faults.
+struct SeededRng(u64);
 
-impl Seeded {
+impl SeededRng {
     fn next(&mut self, below: u64) -> u64 {
         self.0 = self
             .0
@@ -51,7 +51,7 @@
     }
 }
 
-fn runs_of(cluster: &Cluster, request: &str) -> u32 {
+fn run_count(cluster: &Cluster, request: &str) -> u32 {
     cluster
         .services
         .iter()
@@ -60,14 +60,14 @@
 }
 
 #[tokio::test]
-async fn told_outcomes_agree_with_what_ran() -> eyre::Result<()> {
+async fn reported_outcomes_match_what_ran() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
-    let mut seeded = Seeded(5);
+    let mut rng = SeededRng(5);
     let (mut ran, mut not_run, mut unknown) = (0, 0, 0);
-    for batch in 0..REQUESTS / AT_ONCE {
-        let service = seeded.next(cluster.services.len() as u64) as usize;
-        cluster.services[service].faults.set(seeded.faults());
-        let calls = (0..AT_ONCE).map(|i| {
+    for batch in 0..REQUESTS / BATCH_SIZE {
+        let service = rng.next(cluster.services.len() as u64) as usize;
+        cluster.services[service].faults.set(rng.faults());
+        let calls = (0..BATCH_SIZE).map(|i| {
             let cluster = &cluster;
             async move {
                 let mut call = cluster.service_call(i % 2, "entries");
@@ -78,21 +78,21 @@
             }
         });
         for response in futures::future::try_join_all(calls).await? {
-            let told = Told::of(&response);
-            let runs = runs_of(&cluster, &told.request);
-            assert_that!(runs, le(1), "{told:?}");
-            match told.outcome {
+            let head = ResponseHead::from_response(&response);
+            let runs = run_count(&cluster, &head.request_id);
+            assert_that!(runs, le(1), "{head:?}");
+            match head.outcome {
                 Some(Outcome::Ran) => {
                     ran += 1;
-                    assert_that!(runs, eq(1), "{told:?}");
+                    assert_that!(runs, eq(1), "{head:?}");
                 }
                 Some(Outcome::NotRun) => {
                     not_run += 1;
-                    assert_that!(runs, eq(0), "{told:?}");
-                    assert_that!(told.retry_after_s, some(gt(0)), "{told:?}");
+                    assert_that!(runs, eq(0), "{head:?}");
+                    assert_that!(head.retry_after_s, some(gt(0)), "{head:?}");
                 }
                 Some(Outcome::Unknown) => unknown += 1,
-                None => panic!("no outcome: {told:?}"),
+                None => panic!("no outcome: {head:?}"),
             }
         }
     }
--- a/crates/e2e/tests/peers.rs
+++ b/crates/e2e/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Bad input to an agent: wrong versions, another fleet's key, garbage.
+//! Guards against an agent that accepts mismatched peers or malformed input.
 
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn strangers_are_refused_and_counted() -> eyre::Result<()> {
+async fn mismatched_peers_are_refused_and_counted() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
     let address = cluster.hosts[0].agent.address(0);
     let cases = [
@@ -97,6 +97,6 @@
         })
         .await?;
     let answer = cluster.chat(0, "n1", false).await?;
-    assert_that!(answer.told.status, eq(200));
+    assert_that!(answer.head.status, eq(200));
     Ok(())
 }
--- a/crates/e2e/tests/programs.rs
+++ b/crates/e2e/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The command lines of the programs that serve.
+//! Guards the command lines and exit codes of the server programs.
 
 use std::process::{Command, Output};
 
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn wrong_settings_exit_with_two_and_say_where() -> eyre::Result<()> {
+fn invalid_settings_exit_with_two_and_the_line() -> eyre::Result<()> {
     let file = settings("wrong", "host: h\nzones: z\n")?;
     for program in ["chalkrock-router", "chalkrock-agent"] {
         let output = run(program, &["--config", &file, "--check-config"])?;
         assert_that!(output.status.code(), some(eq(2)), "{program}");
-        let said = String::from_utf8(output.stderr)?;
+        let message = String::from_utf8(output.stderr)?;
         assert_that!(
-            said,
+            message,
             contains_substring(":2: zones: unknown field"),
             "{program}"
         );
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn right_settings_pass_the_check() -> eyre::Result<()> {
+fn valid_settings_pass_the_check() -> eyre::Result<()> {
     let text = "host: h\nzone: z\nlisten: 127.0.0.1:0\nadmin_listen: 127.0.0.1:0\n\
                 platform_url: http://127.0.0.1:1\nfleet_key: k\n";
     let file = settings("right", text)?;
--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -1,9 +1,9 @@
-//! Whole and own answers: streams under broken engines and killed routers.
+//! Guards against truncated, repeated or mixed-up streams when engines or routers fail.
 
 use std::time::Duration;
 
 use chalkrock_core::Outcome;
-use chalkrock_e2e::{Cluster, ClusterSize, MODEL, OTHER_KEY, Told, read_chat};
+use chalkrock_e2e::{Cluster, ClusterSize, MODEL, OTHER_KEY, ResponseHead, read_chat};
 use chalkrock_standin::{EngineSettings, Faults};
 use eventsource_stream::Eventsource;
 use futures::StreamExt;
@@ -24,7 +24,7 @@
     }
 }
 
-fn whole_answer(nonce: &str) -> String {
+fn expected_answer(nonce: &str) -> String {
     (0..TOKENS).map(|i| format!("{nonce}.{i} ")).collect()
 }
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// A stream that has begun and stays open, and the id of its first event.
-async fn begun(cluster: &Cluster) -> eyre::Result<(impl Sized + use<>, String)> {
+/// Opens a stream and returns it with the id of its first event.
+async fn open_stream(cluster: &Cluster) -> eyre::Result<(impl Sized + use<>, String)> {
     let answer = cluster.chat_call(0, "n1", true).send().await?;
     let mut events = answer.bytes_stream().eventsource();
     let first = events.next().await.and_then(|event| event.ok());
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn stream_under_faults_of_the_engine_is_whole() -> eyre::Result<()> {
+async fn stream_under_engine_faults_is_complete() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
     let cases = [
         (
@@ -72,17 +72,17 @@
     for (name, faults) in cases {
         set_engine_faults(&cluster, &faults);
         let answer = cluster.chat(0, "n1", true).await?;
-        assert_that!(answer.text, eq(&whole_answer("n1")), "{name}");
+        assert_that!(answer.text, eq(&expected_answer("n1")), "{name}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn stream_goes_on_elsewhere_when_its_engine_dies() -> eyre::Result<()> {
+async fn stream_continues_on_another_engine_after_a_crash() -> eyre::Result<()> {
     let mut cluster = Cluster::start_with(SIZE, slow_engine()).await?;
-    let answering = tokio::spawn(cluster.chat_call(0, "n1", true).send());
+    let call_task = tokio::spawn(cluster.chat_call(0, "n1", true).send());
     cluster
-        .wait_until("the begin", async || {
+        .wait_until("the request to start", async || {
             started(&cluster).iter().sum::<u64>() == 1
         })
         .await?;
@@ -91,10 +91,10 @@
         .iter()
         .position(|count| *count == 1)
         .unwrap_or(0);
-    let response = answering.await??;
+    let response = call_task.await??;
     drop(cluster.engines.remove(engine));
     let answer = read_chat(response).await?;
-    assert_that!(answer.text, eq(&whole_answer("n1")));
+    assert_that!(answer.text, eq(&expected_answer("n1")));
     Ok(())
 }
 
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn stream_of_an_unsafe_request_ends_unknown_when_its_engine_dies() -> eyre::Result<()> {
+async fn stream_of_an_unsafe_request_ends_unknown_after_a_crash() -> eyre::Result<()> {
     let mut cluster = Cluster::start_with(SIZE, slow_engine()).await?;
     let call = cluster
         .chat_call(0, "n1", true)
@@ -154,7 +154,7 @@
         .chat_call(1, "n1", true)
         .header("last-event-id", last_id);
     let rest = read_chat(call.send().await?).await?;
-    assert_that!(text + &rest.text, eq(&whole_answer("n1")));
+    assert_that!(text + &rest.text, eq(&expected_answer("n1")));
     assert_that!(started(&cluster).iter().sum::<u64>(), eq(1));
     Ok(())
 }
@@ -162,7 +162,7 @@
 #[tokio::test]
 async fn resume_refuses_foreign_and_forged_tokens() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
-    let (_events, id) = begun(&cluster).await?;
+    let (_events, id) = open_stream(&cluster).await?;
     let forged = id.replace(|c: char| c.is_ascii_lowercase(), "x");
     let token = id.split_once('.').map_or("", |(_, token)| token);
     let past_the_last = format!("{}.{token}", u64::MAX);
@@ -182,9 +182,9 @@
             .post(url)
             .bearer_auth(key)
             .header("last-event-id", id);
-        let told = Told::of(&call.json(&body).send().await?);
-        assert_that!(told.status, eq(403), "{name}");
-        assert_that!(told.outcome, some(eq(Outcome::NotRun)), "{name}");
+        let head = ResponseHead::from_response(&call.json(&body).send().await?);
+        assert_that!(head.status, eq(403), "{name}");
+        assert_that!(head.outcome, some(eq(Outcome::NotRun)), "{name}");
     }
     Ok(())
 }
@@ -192,18 +192,18 @@
 #[tokio::test]
 async fn resume_of_a_stream_whose_engine_is_gone_is_unknown() -> eyre::Result<()> {
     let mut cluster = Cluster::start_with(SIZE, slow_engine()).await?;
-    let (_events, id) = begun(&cluster).await?;
+    let (_events, id) = open_stream(&cluster).await?;
     cluster.hosts[0].router.kill()?;
     cluster.engines.clear();
     let call = cluster.chat_call(1, "n1", true).header("last-event-id", id);
-    let told = Told::of(&call.send().await?);
-    assert_that!(told.status, eq(502));
-    assert_that!(told.outcome, some(eq(Outcome::Unknown)));
+    let head = ResponseHead::from_response(&call.send().await?);
+    assert_that!(head.status, eq(502));
+    assert_that!(head.outcome, some(eq(Outcome::Unknown)));
     Ok(())
 }
 
 #[tokio::test]
-async fn caller_that_goes_away_frees_the_slot() -> eyre::Result<()> {
+async fn disconnected_caller_frees_the_slot() -> eyre::Result<()> {
     let cluster = Cluster::start_with(SIZE, slow_engine()).await?;
     let response = cluster.chat_call(0, "n1", true).send().await?;
     drop(response);
@@ -223,7 +223,7 @@
 }
 
 #[tokio::test]
-async fn answers_in_parallel_are_each_callers_own() -> eyre::Result<()> {
+async fn parallel_callers_receive_their_own_answers() -> eyre::Result<()> {
     let cluster = Cluster::start(SIZE).await?;
     let calls = (0..200).map(|i| {
         let cluster = &cluster;
@@ -234,7 +234,7 @@
         }
     });
     for (nonce, text) in futures::future::try_join_all(calls).await? {
-        assert_that!(text, eq(&whole_answer(&nonce)));
+        assert_that!(text, eq(&expected_answer(&nonce)));
     }
     Ok(())
 }
--- a/crates/e2e/tests/whole_path.rs
+++ b/crates/e2e/tests/whole_path.rs
@@ -1,7 +1,7 @@
-//! The whole path in separate processes, and what bad input gets.
+//! Guards the path from caller to endpoint, and the errors for invalid input.
 
 use chalkrock_core::Outcome;
-use chalkrock_e2e::{Cluster, ClusterSize, OPERATOR_KEY, Told, read_chat};
+use chalkrock_e2e::{Cluster, ClusterSize, OPERATOR_KEY, ResponseHead, read_chat};
 use googletest::prelude::*;
 use serde_json::{Value, json};
 
@@ -11,29 +11,29 @@
     services: 1,
 };
 
-fn whole_answer(nonce: &str) -> String {
+fn expected_answer(nonce: &str) -> String {
     (0..16).map(|i| format!("{nonce}.{i} ")).collect()
 }
 
 #[tokio::test]
-async fn chat_streamed_and_whole() -> eyre::Result<()> {
+async fn chat_streamed_and_not_streamed() -> eyre::Result<()> {
     let cluster = Cluster::start(SMALL).await?;
     for stream in [false, true] {
         let answer = cluster.chat(0, "n1", stream).await?;
-        assert_that!(answer.told.status, eq(200));
-        assert_that!(answer.told.outcome, some(eq(Outcome::Ran)));
-        assert_that!(answer.text, eq(&whole_answer("n1")));
+        assert_that!(answer.head.status, eq(200));
+        assert_that!(answer.head.outcome, some(eq(Outcome::Ran)));
+        assert_that!(answer.text, eq(&expected_answer("n1")));
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn chat_streamed_tells_no_outcome_before_its_end() -> eyre::Result<()> {
+async fn chat_streamed_reports_no_outcome_before_its_end() -> eyre::Result<()> {
     let cluster = Cluster::start(SMALL).await?;
     let response = cluster.chat_call(0, "n1", true).send().await?;
-    assert_that!(Told::of(&response).outcome, none());
+    assert_that!(ResponseHead::from_response(&response).outcome, none());
     assert_that!(
-        read_chat(response).await?.told.outcome,
+        read_chat(response).await?.head.outcome,
         some(eq(Outcome::Ran))
     );
     Ok(())
@@ -58,8 +58,8 @@
 async fn chat_explained_to_operators_only() -> eyre::Result<()> {
     let cluster = Cluster::start(SMALL).await?;
     let answer = cluster.chat(0, "n1", false).await?;
-    let operators = cluster.hosts[0].router.address(1);
-    let url = format!("http://{operators}/debug/requests/{}", answer.told.request);
+    let router = cluster.hosts[0].router.address(1);
+    let url = format!("http://{router}/debug/requests/{}", answer.head.request_id);
     let refused = cluster.client.get(&url).bearer_auth("wrong").send().await?;
     assert_that!(refused.status().as_u16(), eq(401));
     let explained = cluster
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// A bad request and what it must get.
+/// An invalid request and the expected error.
 struct BadInput {
     name: &'static str,
     key: &'static str,
--- a/crates/quickstart/src/config.rs
+++ b/crates/quickstart/src/config.rs
@@ -1,26 +1,26 @@
-//! The configuration that the quickstart submits.
+//! Configuration of the quickstart fleet.
 
 use chalkrock_core::{FleetConfig, Organisation, Pool, PoolKind, key_digest};
 
-/// The model that the engines serve.
+/// Model that the engines serve.
 pub const MODEL: &str = "stand-in-7b";
-/// The plain service.
+/// Name of the plain service.
 pub const SERVICE: &str = "finder";
-/// Organisations and their keys.
+/// Organisations and their API keys.
 pub const ORGANISATION_KEYS: [(&str, &str); 3] = [
     ("dispatch", "key-dispatch"),
     ("drivers", "key-drivers"),
     ("roadside", "key-roadside"),
 ];
-/// The operators' key.
+/// API key of the operators.
 pub const OPERATOR_KEY: &str = "key-operator";
-/// The secret of this fleet.
+/// Shared secret of the fleet.
 pub(crate) const FLEET_KEY: &str = "quickstart-fleet-key";
-/// The pool of engines.
+/// Name of the engine pool.
 pub(crate) const POOL: &str = "chat";
 
-/// The first configuration.
-pub(crate) fn first_config() -> FleetConfig {
+/// Returns the initial configuration.
+pub(crate) fn initial_config() -> FleetConfig {
     let organisations = ORGANISATION_KEYS
         .iter()
         .map(|(name, key)| Organisation {
--- a/crates/quickstart/src/fleet.rs
+++ b/crates/quickstart/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet in one process.
+//! A complete fleet in one process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -16,27 +16,26 @@
 };
 use eyre::bail;
 
-use crate::config::{FLEET_KEY, OPERATOR_KEY, POOL, SERVICE, first_config};
+use crate::config::{FLEET_KEY, OPERATOR_KEY, POOL, SERVICE, initial_config};
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// How long the routers may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-const READY_PAUSE: Duration = Duration::from_millis(20);
-/// Quick reads of the platform, so that the first minutes show changes fast.
-const POLL_MS: u64 = 200;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Short, so that changes show soon after they are made.
+const POLL_INTERVAL_MS: u64 = 200;
 
-/// How many parts a fleet has.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Hosts, each with a router and an agent.
+    /// Number of hosts, each with a router and an agent.
     pub routers: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
 }
 
-/// A running fleet; it ends when this is dropped.
+/// A running fleet, which stops when dropped.
 pub struct Fleet {
     platform: PlatformHandle,
     engines: Vec<EngineHandle>,
@@ -46,11 +45,11 @@
 }
 
 impl Fleet {
-    /// Starts all parts and waits until the routers are ready.
+    /// Starts all components and waits until the routers are ready.
     ///
     /// # Errors
     ///
-    /// If a part can't start or the routers do not become ready.
+    /// Returns an error if a component can't start or the routers do not become ready.
     pub async fn start(size: FleetSize) -> eyre::Result<Self> {
         let platform = start_platform(PlatformSettings::default()).await?;
         let mut engines = Vec::new();
@@ -62,7 +61,7 @@
             engines.push(start_engine(settings).await?);
         }
         let service = start_service(ServiceSettings::default()).await?;
-        submit_first_config(&platform).await?;
+        submit_initial_config(&platform).await?;
 
         let mut agents = Vec::new();
         let mut routers = Vec::new();
@@ -83,50 +82,50 @@
         Ok(fleet)
     }
 
-    /// Callers' base URL of a router.
+    /// Base URL of a router for callers.
     ///
     /// # Panics
     ///
-    /// If there is no such router.
+    /// Panics if there is no such router.
     pub fn router_url(&self, i: usize) -> String {
         format!("http://{}", self.routers[i].address())
     }
 
-    /// Operators' base URL of a router.
+    /// Base URL of a router for operators.
     ///
     /// # Panics
     ///
-    /// If there is no such router.
+    /// Panics if there is no such router.
     pub fn operator_url(&self, i: usize) -> String {
         format!("http://{}", self.routers[i].operator_address())
     }
 
-    /// The engines.
+    /// Returns the engines.
     pub fn engines(&self) -> &[EngineHandle] {
         &self.engines
     }
 
-    /// The plain service.
+    /// Returns the plain service.
     pub fn service(&self) -> &ServiceHandle {
         &self.service
     }
 
-    /// The platform.
+    /// Returns the platform.
     pub fn platform(&self) -> &PlatformHandle {
         &self.platform
     }
 
-    /// The agents.
+    /// Returns the agents.
     pub fn agents(&self) -> &[RunningAgent] {
         &self.agents
     }
 
-    /// The name of an engine in the host list.
+    /// Name of an engine in the host list.
     pub fn engine_name(i: usize) -> String {
         format!("engine-{i}")
     }
 
-    /// The list of all parts, as the platform would show it.
+    /// Returns a host list with all hosts and endpoints of the fleet.
     pub fn host_list(&self) -> HostList {
         let hosts = self.agents.iter().enumerate().map(|(i, agent)| Host {
             name: host_name(i).as_str().into(),
@@ -159,15 +158,15 @@
 
     async fn wait_until_ready(&self) -> eyre::Result<()> {
         let client = reqwest::Client::new();
-        let waiting = async {
+        let ready = async {
             for i in 0..self.routers.len() {
                 let url = format!("{}/readyz", self.operator_url(i));
                 while !is_ready(&client, &url).await {
-                    tokio::time::sleep(READY_PAUSE).await;
+                    tokio::time::sleep(READY_POLL_INTERVAL).await;
                 }
             }
         };
-        if tokio::time::timeout(READY_TIMEOUT, waiting).await.is_err() {
+        if tokio::time::timeout(READY_TIMEOUT, ready).await.is_err() {
             bail!("the routers did not become ready");
         }
         Ok(())
@@ -181,7 +180,7 @@
     }
 }
 
-async fn submit_first_config(platform: &PlatformHandle) -> eyre::Result<()> {
+async fn submit_initial_config(platform: &PlatformHandle) -> eyre::Result<()> {
     let store = ConfigStore::new(HttpPlatform::new(&platform.url())?);
     let now = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let change = Change {
@@ -191,7 +190,7 @@
         submitted_at_ms: now.as_millis() as u64,
     };
     store
-        .submit(&first_config(), ConfigVersion(0), change)
+        .submit(&initial_config(), ConfigVersion(0), change)
         .await?;
     Ok(())
 }
@@ -208,8 +207,8 @@
         admin_listen: ANY_PORT,
         platform_url: platform_url.to_owned(),
         fleet_key: FLEET_KEY.to_owned(),
-        config_poll_ms: POLL_MS,
-        hosts_poll_ms: POLL_MS,
+        config_poll_ms: POLL_INTERVAL_MS,
+        hosts_poll_ms: POLL_INTERVAL_MS,
         probe_ms: 1_000,
         settle_ms: 500,
         logs: Default::default(),
--- a/crates/quickstart/src/lib.rs
+++ b/crates/quickstart/src/lib.rs
@@ -1,8 +1,7 @@
-//! Every part of chalkrock in one process, for the first five minutes.
+//! A complete chalkrock fleet in one process.
 //!
-//! A platform, engines, a service, agents and routers on loopback, with a few
-//! organisations. [`Fleet`] is also what tests embed when they need no
-//! processes of their own.
+//! [`Fleet`] runs a platform, engines, a service, agents and routers on loopback,
+//! with a few organisations. Tests that need no separate processes can embed it.
 //!
 //! # Example
 //!
--- a/crates/quickstart/src/main.rs
+++ b/crates/quickstart/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkrock-quickstart`: a whole fleet on loopback.
+//! `chalkrock-quickstart`: runs a complete fleet on loopback.
 
 use std::process::ExitCode;
 
@@ -40,7 +40,7 @@
         routers: count("routers"),
         engines: count("engines"),
     };
-    match show(size, matches.get_flag("once")).await {
+    match run(size, matches.get_flag("once")).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error:#}");
@@ -49,7 +49,7 @@
     }
 }
 
-async fn show(size: FleetSize, once: bool) -> eyre::Result<()> {
+async fn run(size: FleetSize, once: bool) -> eyre::Result<()> {
     start_logs(&LogSettings {
         level: log::LevelFilter::Warn,
         ..Default::default()
--- a/crates/quickstart/src/tour.rs
+++ b/crates/quickstart/src/tour.rs
@@ -1,4 +1,4 @@
-//! What the quickstart shows: a returning chat, and one explained decision.
+//! Demonstration of a returning chat and of the explanation of a routing decision.
 
 use eyre::eyre;
 use serde_json::{Value, json};
@@ -6,11 +6,11 @@
 use crate::config::{MODEL, OPERATOR_KEY, ORGANISATION_KEYS};
 use crate::fleet::Fleet;
 
-/// Sends a chat twice and prints what became of it.
+/// Sends a chat and its continuation, and prints how they were routed.
 ///
 /// # Errors
 ///
-/// If the fleet does not answer.
+/// Returns an error if a request fails.
 pub async fn tour(fleet: &Fleet) -> eyre::Result<()> {
     let client = reqwest::Client::new();
     let first = json!([{"role": "user", "content": "chargers near Meridian, please"}]);
@@ -20,14 +20,14 @@
     let mut second = first.as_array().cloned().unwrap_or_default();
     second.push(json!({"role": "assistant", "content": answer.text}));
     second.push(json!({"role": "user", "content": "and on the way to Jackson?"}));
-    let hint = Some(answer.affinity.as_str());
-    let (returned, request) = send(fleet, &client, json!(second), hint).await?;
+    let affinity = Some(answer.affinity.as_str());
+    let (returned, request_id) = send(fleet, &client, json!(second), affinity).await?;
     println!(
         "It returned to {}, which found {} of its prompt cached.",
-        returned.engine, returned.cached
+        returned.engine, returned.cached_tokens
     );
 
-    let url = format!("{}/debug/requests/{request}", fleet.operator_url(0));
+    let url = format!("{}/debug/requests/{request_id}", fleet.operator_url(0));
     let explanation: Value = client
         .get(url)
         .bearer_auth(OPERATOR_KEY)
@@ -45,7 +45,7 @@
 struct Answer {
     text: String,
     engine: String,
-    cached: u64,
+    cached_tokens: u64,
     affinity: String,
 }
 
@@ -53,17 +53,17 @@
     fleet: &Fleet,
     client: &reqwest::Client,
     messages: Value,
-    hint: Option<&str>,
+    affinity: Option<&str>,
 ) -> eyre::Result<(Answer, String)> {
     let url = format!("{}/v1/chat/completions", fleet.router_url(0));
-    let mut call = client
+    let mut builder = client
         .post(url)
         .bearer_auth(ORGANISATION_KEYS[0].1)
         .json(&json!({"model": MODEL, "messages": messages}));
-    if let Some(hint) = hint {
-        call = call.header("chalkrock-affinity", hint);
+    if let Some(affinity) = affinity {
+        builder = builder.header("chalkrock-affinity", affinity);
     }
-    let response = call.send().await?;
+    let response = builder.send().await?;
     if !response.status().is_success() {
         return Err(eyre!("refused: {}", response.text().await?));
     }
@@ -77,9 +77,9 @@
             .ok_or_else(|| eyre!("no header {name}"))
     };
     let affinity = header("chalkrock-affinity")?;
-    let request = header("x-request-id")?;
+    let request_id = header("x-request-id")?;
     let body: Value = response.json().await?;
-    let url = format!("{}/debug/requests/{request}", fleet.operator_url(0));
+    let url = format!("{}/debug/requests/{request_id}", fleet.operator_url(0));
     let explanation: Value = client
         .get(url)
         .bearer_auth(OPERATOR_KEY)
@@ -96,10 +96,10 @@
             .as_str()
             .unwrap_or("nobody")
             .to_owned(),
-        cached: body["usage"]["prompt_tokens_details"]["cached_tokens"]
+        cached_tokens: body["usage"]["prompt_tokens_details"]["cached_tokens"]
             .as_u64()
             .unwrap_or(0),
         affinity,
     };
-    Ok((answer, request))
+    Ok((answer, request_id))
 }
