--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -1,4 +1,4 @@
-//! The callers' API: its routes.
+//! Routes of the callers' API.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 use serde_json::json;
 
 use crate::chat;
-use crate::entry::organisation_of;
+use crate::entry::authenticate;
 use crate::operators;
 use crate::service_calls;
 use crate::state::State;
 
-/// The callers' routes.
+/// Builds the callers' routes.
 pub(crate) fn app(state: Arc<State>) -> Router {
     Router::new()
         .route("/v1/chat/completions", post(chat::chat))
@@ -31,9 +31,9 @@
 }
 
 async fn models(Extract(state): Extract<Arc<State>>, headers: HeaderMap) -> Response {
-    let request = state.request_id();
+    let request = state.next_request_id();
     let view = state.view.load_full();
-    if let Err(refusal) = organisation_of(&view, &headers) {
+    if let Err(refusal) = authenticate(&view, &headers) {
         return refusal.into_answer(&request);
     }
     let mut data = Vec::new();
@@ -50,7 +50,7 @@
 }
 
 async fn not_found(uri: Uri) -> Response {
-    let message = format!("nothing at {}", uri.path());
+    let message = format!("no route for {}", uri.path());
     let body = json!({"error": {"type": "not-found", "message": message, "outcome": "not-run"}});
     (StatusCode::NOT_FOUND, Json(body)).into_response()
 }
--- a/crates/router/src/chat/answer.rs
+++ b/crates/router/src/chat/answer.rs
@@ -1,5 +1,4 @@
-//! Turns an engine's answer into the caller's: a stream, a whole answer, or a
-//! stream that another router began.
+//! Builds the caller's response from an engine's response, and resumes streams.
 
 use std::sync::Arc;
 
@@ -13,35 +12,35 @@
 use super::send::{Chat, Dispatched};
 use crate::claims::Claim;
 use crate::dispatch::{Attempt, send};
-use crate::entry::Entered;
+use crate::entry::Admitted;
 use crate::explain::Explanation;
-use crate::place::ChatPlace;
+use crate::place::ChatPlacement;
 use crate::refusal::Refusal;
-use crate::relay::{Begun, Elsewhere};
+use crate::relay::{Failover, StartedStream};
 use crate::state::State;
 
-/// An endpoint's answer that is ready to be passed on.
-pub(super) enum Served {
+/// A response to the caller.
+pub(super) enum ChatResponse {
     Stream {
-        begun: Box<Begun>,
+        started: Box<StartedStream>,
         home: HeaderValue,
     },
-    Whole {
+    Complete {
         response: Response,
         home: HeaderValue,
     },
 }
 
-/// Ends the claim of a request that is over; a stream takes it along.
+/// Ends the claim of a finished request. A stream keeps it until it ends.
 pub(super) fn settle_claim(
     state: &Arc<State>,
     claim: Option<Claim>,
-    served: Result<Served, Refusal>,
-) -> Result<Served, Refusal> {
+    served: Result<ChatResponse, Refusal>,
+) -> Result<ChatResponse, Refusal> {
     match (served, claim) {
-        (Ok(Served::Stream { mut begun, home }), claim) => {
-            begun.claim = claim;
-            Ok(Served::Stream { begun, home })
+        (Ok(ChatResponse::Stream { mut started, home }), claim) => {
+            started.claim = claim;
+            Ok(ChatResponse::Stream { started, home })
         }
         (served, Some(claim)) => {
             let outcome = served
@@ -54,51 +53,51 @@
     }
 }
 
-/// Turns the endpoint's answer into the caller's.
-pub(super) async fn pass_on(
+/// Builds the caller's response from the endpoint's.
+pub(super) async fn build_response(
     state: &State,
     explanation: &mut Explanation,
-    entered: &Entered,
+    admitted: &Admitted,
     pool: &Pool,
     sent: &Chat,
     dispatched: Dispatched,
     stream: bool,
-) -> Result<Served, Refusal> {
+) -> Result<ChatResponse, Refusal> {
     let Dispatched {
         endpoint,
-        on_engine,
+        in_flight,
         response,
     } = dispatched;
-    let home = home_hint(state, entered, &endpoint.name);
+    let home = sign_home_hint(state, admitted, &endpoint.name);
     if stream && response.status().is_success() {
         let place = state.tokens.sign_place(&StreamPlace {
-            organisation: entered.organisation.clone(),
+            organisation: admitted.organisation.clone(),
             request: explanation.request.clone(),
             endpoint: endpoint.name.clone(),
             base: 0,
         });
-        let elsewhere = sent.repeat_safe.then(|| Elsewhere {
+        let failover = sent.repeat_safe.then(|| Failover {
             pool: pool.clone(),
-            chat: ChatPlace {
+            chat: ChatPlacement {
                 hint: None,
                 ..sent.place.clone()
             },
             body: sent.body.clone(),
             text: String::new(),
-            lost: Vec::new(),
+            failed_engines: Vec::new(),
         });
-        let begun = Begun {
+        let started = StartedStream {
             endpoint,
-            on_engine: Some(on_engine),
+            in_flight: Some(in_flight),
             claim: None,
             place,
             response,
-            from: 0,
+            first_number: 0,
             base: 0,
-            elsewhere,
+            failover,
         };
-        return Ok(Served::Stream {
-            begun: Box::new(begun),
+        return Ok(ChatResponse::Stream {
+            started: Box::new(started),
             home,
         });
     }
@@ -111,37 +110,37 @@
         )
     };
     let body = response.bytes().await.map_err(lost)?;
-    explanation.hop("answer", start);
+    explanation.record_hop("answer", start);
     if serde_json::from_slice::<serde::de::IgnoredAny>(&body).is_err() {
-        let detail = format!("{}: the answer is not JSON", endpoint.name);
+        let detail = format!("{}: the response is not JSON", endpoint.name);
         return Err(Refusal::new(Reason::EndpointGarbage, detail));
     }
     let response = (status, [("content-type", "application/json")], body).into_response();
-    Ok(Served::Whole { response, home })
+    Ok(ChatResponse::Complete { response, home })
 }
 
-/// Goes on with a stream that another router began.
+/// Resumes a stream that any router has started.
 pub(super) async fn resume(
     state: &State,
     explanation: &mut Explanation,
-    entered: &Entered,
+    admitted: &Admitted,
     last: &HeaderValue,
-) -> Result<Served, Refusal> {
+) -> Result<ChatResponse, Refusal> {
     let refused = |detail: &str| Refusal::new(Reason::TokenRefused, detail);
     let last = last
         .to_str()
         .map_err(|_| refused("Last-Event-ID is not text"))?;
     let (number, token) = last
         .split_once('.')
-        .ok_or_else(|| refused("Last-Event-ID is not one of ours"))?;
+        .ok_or_else(|| refused("Last-Event-ID has no stream token"))?;
     let number: u64 = number
         .parse()
         .map_err(|_| refused("Last-Event-ID has no number"))?;
     let place = state
         .tokens
-        .read_place(token, &entered.organisation)
+        .read_place(token, &admitted.organisation)
         .map_err(|error| refused(&error.to_string()))?;
-    let listed = entered
+    let listed = admitted
         .view
         .hosts
         .endpoints
@@ -150,15 +149,15 @@
     let endpoint = listed
         .cloned()
         .ok_or_else(|| Refusal::new(Reason::EndpointLost, format!("{} is gone", place.endpoint)))?;
-    let from = number
+    let first_number = number
         .checked_add(1)
-        .ok_or_else(|| refused("the number is too high"))?;
-    // The stream keeps the id under which the engine knows it.
+        .ok_or_else(|| refused("the event number is too high"))?;
+    // The engine knows the stream by its first request id.
     explanation.request = place.request.clone();
     explanation.chosen = Some(endpoint.name.clone());
-    let offset = from
+    let offset = first_number
         .checked_sub(place.base)
-        .ok_or_else(|| refused("the number is too low"))?;
+        .ok_or_else(|| refused("the event number is too low"))?;
     let path = format!("/v1/streams/{}?offset={offset}", place.request);
     let attempt = Attempt {
         request: &place.request,
@@ -168,35 +167,35 @@
         headers: HeaderMap::new(),
         body: Bytes::new(),
     };
-    // Whatever keeps the engine from answering: the request did run there.
+    // The request has run, so no failure here counts as not run.
     let gone = |_| Refusal::new(Reason::EndpointLost, format!("{} is gone", endpoint.name));
     let response = send(state, attempt).await.map_err(gone)?;
     if !response.status().is_success() {
         let detail = format!("{} no longer has the stream", endpoint.name);
         return Err(Refusal::new(Reason::EndpointLost, detail));
     }
-    let home = home_hint(state, entered, &endpoint.name);
+    let home = sign_home_hint(state, admitted, &endpoint.name);
     let token = token.to_owned();
-    let begun = Begun {
+    let started = StartedStream {
         endpoint,
-        on_engine: None,
+        in_flight: None,
         claim: None,
         place: token,
         response,
-        from,
+        first_number,
         base: place.base,
-        elsewhere: None,
+        failover: None,
     };
-    Ok(Served::Stream {
-        begun: Box::new(begun),
+    Ok(ChatResponse::Stream {
+        started: Box::new(started),
         home,
     })
 }
 
-/// The affinity hint that names this engine as the chat's home.
-fn home_hint(state: &State, entered: &Entered, engine: &EndpointId) -> HeaderValue {
+/// Signs the affinity hint for the engine that served the chat.
+fn sign_home_hint(state: &State, admitted: &Admitted, engine: &EndpointId) -> HeaderValue {
     let hint = HomeHint {
-        organisation: entered.organisation.clone(),
+        organisation: admitted.organisation.clone(),
         endpoint: engine.clone(),
     };
     HeaderValue::from_str(&state.tokens.sign_home(&hint))
--- a/crates/router/src/chat/mod.rs
+++ b/crates/router/src/chat/mod.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: one chat request from entry to answer.
+//! Handles `POST /v1/chat/completions`.
 
 use std::sync::Arc;
 
@@ -13,24 +13,23 @@
 use tracing::Instrument;
 
 use crate::claims::claim;
-use crate::entry::{Entered, body_of, enter, is_marked_unsafe, refuse};
+use crate::entry::{Admitted, admit_request, is_marked_unsafe, read_body, refuse};
 use crate::explain::Explanation;
-use crate::place::ChatPlace;
-use crate::refusal::{Refusal, mark, name};
-use crate::relay::Relay;
+use crate::place::ChatPlacement;
+use crate::refusal::{Refusal, set_outcome_headers, set_request_id};
+use crate::relay::StreamRelay;
 use crate::state::State;
 
 mod answer;
 mod send;
 
-use answer::{Served, pass_on, resume, settle_claim};
+use answer::{ChatResponse, build_response, resume, settle_claim};
 use send::{Chat, dispatch};
 
-/// The affinity hint, in both directions.
-const AFFINITY: &str = "chalkrock-affinity";
+/// Header of the affinity hint, in requests and responses.
+const AFFINITY_HEADER: &str = "chalkrock-affinity";
 
-/// What the router reads of a chat request. The engine gets the body as the
-/// caller sent it.
+/// The parsed fields of a chat request. The body is forwarded unchanged.
 #[derive(Debug, Deserialize)]
 struct ChatRequest {
     model: String,
@@ -55,25 +54,25 @@
 ) -> Response {
     let span = tracing::info_span!("chat");
     chalkrock_process::remote_parent(&span, &headers);
-    let request = state.request_id();
+    let request = state.next_request_id();
     let mut explanation = Explanation::new(request.clone(), chalkrock_process::trace_id(&span));
     let served = serve(&state, &mut explanation, &headers, body)
         .instrument(span)
         .await;
     match served {
-        Ok(Served::Stream { begun, home }) => {
-            let relay = Relay::new(state, explanation, *begun);
+        Ok(ChatResponse::Stream { started, home }) => {
+            let relay = StreamRelay::new(state, explanation, *started);
             let events = Sse::new(relay.into_events()).keep_alive(KeepAlive::default());
             let mut answer = events.into_response();
-            // How it ended is told by the stream's last event.
-            name(answer.headers_mut(), &request);
-            answer.headers_mut().insert(AFFINITY, home);
+            // The last event carries the outcome, so no outcome header is set.
+            set_request_id(answer.headers_mut(), &request);
+            answer.headers_mut().insert(AFFINITY_HEADER, home);
             answer
         }
-        Ok(Served::Whole { response, home }) => {
+        Ok(ChatResponse::Complete { response, home }) => {
             let mut answer = response;
-            mark(answer.headers_mut(), &request, Outcome::Ran);
-            answer.headers_mut().insert(AFFINITY, home);
+            set_outcome_headers(answer.headers_mut(), &request, Outcome::Ran);
+            answer.headers_mut().insert(AFFINITY_HEADER, home);
             state.record(explanation, Outcome::Ran, None);
             answer
         }
@@ -86,12 +85,12 @@
     explanation: &mut Explanation,
     headers: &HeaderMap,
     body: Body,
-) -> Result<Served, Refusal> {
-    let (entered, body) = enter(state, explanation, headers, body).await?;
-    let body = body_of(state, body).await?;
+) -> Result<ChatResponse, Refusal> {
+    let (admitted, body) = admit_request(state, explanation, headers, body).await?;
+    let body = read_body(state, body).await?;
     let chat: ChatRequest = serde_json::from_slice(&body)
         .map_err(|error| Refusal::new(Reason::InvalidRequest, error.to_string()))?;
-    let pool = entered.view.config.pool_for_model(&chat.model);
+    let pool = admitted.view.config.pool_for_model(&chat.model);
     let pool = pool.ok_or_else(|| {
         Refusal::new(
             Reason::UnknownModel,
@@ -100,23 +99,23 @@
     })?;
     explanation.pool = Some(pool.name.clone());
     if let Some(last) = headers.get("last-event-id") {
-        return resume(state, explanation, &entered, last).await;
+        return resume(state, explanation, &admitted, last).await;
     }
-    let home = home_of(state, headers, &entered.organisation)?;
-    let place = ChatPlace {
-        key: chat_key(&entered, &chat),
-        organisation: MemberHash::of(entered.organisation.as_str()).short(),
+    let home = read_home_hint(state, headers, &admitted.organisation)?;
+    let place = ChatPlacement {
+        key: chat_key(&admitted, &chat),
+        organisation: MemberHash::of(admitted.organisation.as_str()).short(),
         hint: home.map(|home| home.endpoint),
-        returns: chat
+        has_history: chat
             .messages
             .iter()
             .any(|message| message.role == "assistant"),
-        home_wait_ms: worth_waiting_ms(body.len()),
+        home_wait_ms: home_wait_limit_ms(body.len()),
     };
     let claim = claim(
         state,
         explanation,
-        &entered,
+        &admitted,
         headers,
         &body,
         pool.deadline_ms,
@@ -128,12 +127,12 @@
         body,
         repeat_safe,
     };
-    let served = match dispatch(state, explanation, &entered, pool, &sent).await {
+    let served = match dispatch(state, explanation, &admitted, pool, &sent).await {
         Ok(dispatched) => {
-            pass_on(
+            build_response(
                 state,
                 explanation,
-                &entered,
+                &admitted,
                 pool,
                 &sent,
                 dispatched,
@@ -146,36 +145,35 @@
     settle_claim(state, claim, served)
 }
 
-/// How long a warm engine is worth waiting for: no longer than it would take
-/// to process the prompt anew, as far as its length tells.
-fn worth_waiting_ms(prompt_bytes: usize) -> u64 {
+/// Returns how long to wait for a warm engine: at most the estimated time to
+/// process the prompt again.
+fn home_wait_limit_ms(prompt_bytes: usize) -> u64 {
     const PROMPT_BYTES_PER_MS: usize = 40;
-    const WAIT_MAX_MS: u64 = 400;
-    WAIT_MAX_MS.min((prompt_bytes / PROMPT_BYTES_PER_MS) as u64)
+    const MAX_WAIT_MS: u64 = 400;
+    MAX_WAIT_MS.min((prompt_bytes / PROMPT_BYTES_PER_MS) as u64)
 }
 
-/// A chat is known by its first words: they stay while it grows.
-fn chat_key(entered: &Entered, chat: &ChatRequest) -> KeyHash {
-    const FIRST_MESSAGES: usize = 2;
-    let mut text = format!("{}\n{}\n", entered.organisation, chat.model);
+/// Hashes a chat's first messages, which stay the same as it grows.
+fn chat_key(admitted: &Admitted, chat: &ChatRequest) -> KeyHash {
+    const KEY_MESSAGES: usize = 2;
+    let mut text = format!("{}\n{}\n", admitted.organisation, chat.model);
     for message in chat
         .messages
         .iter()
-        .take(FIRST_MESSAGES.min(chat.messages.len()))
+        .take(KEY_MESSAGES.min(chat.messages.len()))
     {
         text.push_str(&message.content.to_string());
     }
     KeyHash::of(text.as_bytes())
 }
 
-/// The home that the caller's hint names. A hint is only a hint: one that
-/// can't be read is an error of the caller's, told at once.
-fn home_of(
+/// Reads the home engine from the caller's hint. An invalid hint is refused.
+fn read_home_hint(
     state: &State,
     headers: &HeaderMap,
     caller: &OrganisationId,
 ) -> Result<Option<HomeHint>, Refusal> {
-    let Some(hint) = headers.get(AFFINITY) else {
+    let Some(hint) = headers.get(AFFINITY_HEADER) else {
         return Ok(None);
     };
     let refused = |error: String| Refusal::new(Reason::TokenRefused, error);
--- a/crates/router/src/chat/send.rs
+++ b/crates/router/src/chat/send.rs
@@ -1,5 +1,4 @@
-//! Sends a chat request to an engine, and to another one while none has
-//! started it.
+//! Sends a chat request to an engine, with retries on other engines.
 
 use bytes::Bytes;
 use chalkrock_core::{Endpoint, Outcome, Pool, Reason};
@@ -7,49 +6,49 @@
 use tokio::time::Instant;
 
 use crate::dispatch::{Attempt, CHAT_PATH, json_headers, send};
-use crate::entry::Entered;
+use crate::entry::Admitted;
 use crate::explain::Explanation;
-use crate::owners::OnEngine;
-use crate::place::{ChatPlace, Placed, place};
+use crate::owners::InFlightRequest;
+use crate::place::{ChatPlacement, PlacedRequest, place};
 use crate::refusal::Refusal;
 use crate::state::State;
 
-/// Endpoints tried for one request while none has started it.
-const ATTEMPTS_MAX: usize = 3;
+/// Engines tried for one request.
+const MAX_ATTEMPTS: usize = 3;
 
-/// A chat request on its way to an engine.
+/// A chat request to dispatch.
 pub(super) struct Chat {
-    pub(super) place: ChatPlace,
+    pub(super) place: ChatPlacement,
     pub(super) body: Bytes,
-    /// Whether it may be sent again after an attempt of unknown outcome.
+    /// Whether it may be retried after an unknown outcome.
     pub(super) repeat_safe: bool,
 }
 
-/// A request that an engine runs.
+/// A request that an engine has accepted.
 pub(super) struct Dispatched {
     pub(super) endpoint: Endpoint,
-    pub(super) on_engine: OnEngine,
+    pub(super) in_flight: InFlightRequest,
     pub(super) response: reqwest::Response,
 }
 
-/// Finds an engine and sends, on to another one while none has started it.
+/// Sends the request to an engine, and retries on others if that is safe.
 pub(super) async fn dispatch(
     state: &State,
     explanation: &mut Explanation,
-    entered: &Entered,
+    admitted: &Admitted,
     pool: &Pool,
     chat: &Chat,
 ) -> Result<Dispatched, Refusal> {
-    let mut engines = entered.view.live_in(&pool.name).to_vec();
+    let mut engines = admitted.view.live_in(&pool.name).to_vec();
     let mut refusal = Refusal::new(
         Reason::NoEndpoint,
         format!("{} has no live engine", pool.name),
     );
-    for attempt in 0..ATTEMPTS_MAX {
-        if engines.is_empty() || (attempt > 0 && !state.may_retry()) {
+    for attempt in 0..MAX_ATTEMPTS {
+        if engines.is_empty() || (attempt > 0 && !state.take_retry()) {
             break;
         }
-        let Placed { engine, on_engine } =
+        let PlacedRequest { engine, in_flight } =
             place(state, explanation, pool, &chat.place, &engines).await?;
         let start = Instant::now();
         let one = Attempt {
@@ -61,16 +60,16 @@
             body: chat.body.clone(),
         };
         let sent = send(state, one).await;
-        explanation.hop("dispatch", start);
+        explanation.record_hop("dispatch", start);
         match sent {
             Ok(response) => {
                 if attempt == 0 {
-                    state.first_try_succeeded();
+                    state.record_first_try_success();
                 }
                 explanation.chosen = Some(engine.endpoint.name.clone());
                 return Ok(Dispatched {
                     endpoint: engine.endpoint,
-                    on_engine,
+                    in_flight,
                     response,
                 });
             }
--- a/crates/router/src/claim_writers.rs
+++ b/crates/router/src/claim_writers.rs
@@ -1,4 +1,4 @@
-//! Connections to the agents that write claims.
+//! Cached connections to the agents that write claims.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,17 +6,17 @@
 use chalkrock_core::rendezvous::KeyHash;
 use chalkrock_proto::AgentApiClient;
 
-/// Agents that write claims. Each writes one batch in 50 ms.
-const WRITERS: u64 = 4;
+/// Number of agents that write claims.
+const WRITER_GROUPS: u64 = 4;
 
-/// Connections to the agents that write claims, one a group.
+/// Connections to claim writers, one per group of keys.
 #[derive(Default)]
 pub(crate) struct ClaimWriters(Mutex<HashMap<u64, AgentApiClient>>);
 
 impl ClaimWriters {
-    /// The group of a claim's row.
+    /// Returns the group of a row key.
     pub(crate) fn group(row_key: &str) -> u64 {
-        KeyHash::of(row_key.as_bytes()).0 % WRITERS
+        KeyHash::of(row_key.as_bytes()).0 % WRITER_GROUPS
     }
 
     fn map(&self) -> MutexGuard<'_, HashMap<u64, AgentApiClient>> {
@@ -27,11 +27,11 @@
         self.map().get(&Self::group(row_key)).cloned()
     }
 
-    pub(crate) fn keep(&self, row_key: &str, client: AgentApiClient) {
+    pub(crate) fn insert(&self, row_key: &str, client: AgentApiClient) {
         self.map().insert(Self::group(row_key), client);
     }
 
-    pub(crate) fn forget(&self, row_key: &str) {
+    pub(crate) fn remove(&self, row_key: &str) {
         self.map().remove(&Self::group(row_key));
     }
 }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of requests with an idempotency key: at most one of them runs.
+//! Idempotency-key claims: at most one request per key runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,28 +16,27 @@
 use tarpc::context;
 
 use crate::claim_writers::ClaimWriters;
-use crate::entry::Entered;
+use crate::entry::Admitted;
 use crate::explain::Explanation;
 use crate::refusal::Refusal;
 use crate::state::State;
 use crate::view::RouterView;
 
-const PART: &str = "router.claims";
-/// The header of a caller's key (IETF draft "The Idempotency-Key HTTP Header
-/// Field").
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Agents that are tried before the own one.
-const WRITERS_TRIED: usize = 3;
-/// How long a claim may take, its settlement included.
+const LOG_TARGET: &str = "router.claims";
+/// Header of the IETF draft "The Idempotency-Key HTTP Header Field".
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// Remote agents tried before the local one.
+const MAX_REMOTE_WRITERS: usize = 3;
+/// Timeout of a claim write, including its settlement.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often the end of a claim is written.
-const END_TRIES: u32 = 5;
-const END_PAUSE: Duration = Duration::from_millis(500);
-/// How often a claim that may have been written is withdrawn: for a minute.
-const ABANDON_TRIES: u32 = 120;
+/// Attempts to write the end of a claim.
+const MAX_END_ATTEMPTS: u32 = 5;
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Attempts to withdraw a claim that may have been written.
+const MAX_WITHDRAW_ATTEMPTS: u32 = 120;
 
-/// A claim that this router holds. Its end must be told by [`Claim::end`];
-/// one that is dropped stays running in the table, and its outcome unknown.
+/// A claim that this router holds. One that is dropped without [`Claim::end`]
+/// stays in the running state, with an unknown outcome.
 #[derive(Debug)]
 pub(crate) struct Claim {
     row_key: String,
@@ -49,17 +48,17 @@
 ///
 /// # Errors
 ///
-/// If the key was used before, or the table does not answer. The request has
-/// not run, and will not run under this claim.
+/// If the key was used before or the store is unavailable. The request has not
+/// run.
 pub(crate) async fn claim(
     state: &Arc<State>,
     explanation: &mut Explanation,
-    entered: &Entered,
+    admitted: &Admitted,
     headers: &HeaderMap,
     body: &[u8],
     deadline_ms: u64,
 ) -> Result<Option<Claim>, Refusal> {
-    let Some(key) = headers.get(IDEMPOTENCY_KEY) else {
+    let Some(key) = headers.get(IDEMPOTENCY_KEY_HEADER) else {
         return Ok(None);
     };
     let invalid = || {
@@ -78,20 +77,20 @@
         deadline_at_ms: unix_ms() + deadline_ms,
         state: ClaimState::Running,
     };
-    let row_key = claim_row_key(&entered.organisation, key);
-    let claimed = insert(state, &entered.view, row_key, row).await;
-    explanation.hop("claim", start);
+    let row_key = claim_row_key(&admitted.organisation, key);
+    let claimed = insert_claim(state, &admitted.view, row_key, row).await;
+    explanation.record_hop("claim", start);
     claimed.map(Some)
 }
 
-async fn insert(
+async fn insert_claim(
     state: &Arc<State>,
     view: &RouterView,
     row_key: String,
     row: ClaimRow,
 ) -> Result<Claim, Refusal> {
     let mut expect = ClaimExpect::Absent;
-    // Twice: the row of a request that did not run may be replaced once.
+    // The second attempt replaces the row of a request that did not run.
     for _ in 0..2 {
         match write(state, view, &row_key, &row, expect).await {
             ClaimAnswer::Written { version } => {
@@ -111,12 +110,12 @@
                 }
                 ClaimDecision::Replace => expect = ClaimExpect::Version(version),
                 ClaimDecision::Refuse(reason, outcome) => {
-                    let detail = format!("a request with this key came first: {outcome}");
+                    let detail = format!("the key was used by an earlier request: {outcome}");
                     return Err(Refusal::new(reason, detail));
                 }
             },
             ClaimAnswer::Unsettled => {
-                abandon(state, row_key, row);
+                withdraw(state, row_key, row);
                 break;
             }
             ClaimAnswer::Gone | ClaimAnswer::Unavailable => break,
@@ -126,14 +125,14 @@
     Err(Refusal::new(Reason::ClaimsUnavailable, detail))
 }
 
-/// A claim that may or may not be in the table, for a request that is refused.
-/// It is marked as not run, or the caller's repeat would find it running.
-fn abandon(state: &Arc<State>, row_key: String, mut row: ClaimRow) {
+/// Marks a claim that may have been written as not run. Otherwise the caller's
+/// repeat would find it running.
+fn withdraw(state: &Arc<State>, row_key: String, mut row: ClaimRow) {
     let state = state.clone();
     row.state = ClaimState::Ended(Outcome::NotRun);
     tokio::spawn(async move {
         let mut expect = ClaimExpect::Absent;
-        for _ in 0..ABANDON_TRIES {
+        for _ in 0..MAX_WITHDRAW_ATTEMPTS {
             let view = state.view.load_full();
             match write(&state, &view, &row_key, &row, expect).await {
                 ClaimAnswer::Written { .. } => return,
@@ -143,18 +142,18 @@
                 },
                 ClaimAnswer::Gone => expect = ClaimExpect::Absent,
                 ClaimAnswer::Unavailable | ClaimAnswer::Unsettled => {
-                    tokio::time::sleep(END_PAUSE).await;
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
-        log::warn!(target: PART, "Claim of {} not withdrawn.", row.request);
+        log::warn!(target: LOG_TARGET, "Claim of request {} not withdrawn.", row.request);
     });
 }
 
 fn decide(row: &ClaimRow, found: &str) -> Result<ClaimDecision, Refusal> {
     let found: ClaimRow = serde_json::from_str(found).map_err(|error| {
-        log::error!(target: PART, "A claim's row can't be read: {error}.");
-        Refusal::new(Reason::ClaimsUnavailable, "the key's claim can't be read")
+        log::error!(target: LOG_TARGET, "Invalid claim row: {error}.");
+        Refusal::new(Reason::ClaimsUnavailable, "the key's claim is invalid")
     })?;
     Ok(found.decide(&row.request, &row.body_sha256, unix_ms()))
 }
@@ -169,7 +168,7 @@
     let Ok(value) = serde_json::to_string(row) else {
         return ClaimAnswer::Unavailable;
     };
-    let Some(writer) = writer(state, view, row_key).await else {
+    let Some(writer) = connect_writer(state, view, row_key).await else {
         return ClaimAnswer::Unavailable;
     };
     let write = ClaimWrite {
@@ -181,19 +180,19 @@
     match tokio::time::timeout(CLAIM_TIMEOUT, writing).await {
         Ok(Ok(Ok(answer))) => answer,
         Ok(Ok(Err(error))) => {
-            log::warn!(target: PART, "Writer refused: {error}.");
+            log::warn!(target: LOG_TARGET, "Claim writer rejected the request: {error}.");
             ClaimAnswer::Unavailable
         }
         Ok(Err(_)) | Err(_) => {
-            state.claim_writers.forget(row_key);
+            state.claim_writers.remove(row_key);
             ClaimAnswer::Unsettled
         }
     }
 }
 
-/// The agent that writes this key's claims; the next in rank if it is away,
-/// and at last the own one: a first host list may show no host yet.
-async fn writer(state: &State, view: &RouterView, row_key: &str) -> Option<AgentApiClient> {
+/// Connects to the highest-ranked reachable writer of the key. The local agent
+/// comes last, as the first host list may be empty.
+async fn connect_writer(state: &State, view: &RouterView, row_key: &str) -> Option<AgentApiClient> {
     if let Some(client) = state.claim_writers.get(row_key) {
         return Some(client);
     }
@@ -205,10 +204,10 @@
         let count = state.traffic.open(Purpose::Claims);
         match connect(address, hello, count).await {
             Ok(client) => {
-                state.claim_writers.keep(row_key, client.clone());
+                state.claim_writers.insert(row_key, client.clone());
                 return Some(client);
             }
-            Err(error) => log::debug!(target: PART, "{error}."),
+            Err(error) => log::debug!(target: LOG_TARGET, "{error}."),
         }
     }
     None
@@ -224,37 +223,36 @@
     hosts.sort_by(|a, b| rank(b).total_cmp(&rank(a)));
     let ranked = hosts.into_iter().map(|host| host.agent_address);
     ranked
-        .take(WRITERS_TRIED)
+        .take(MAX_REMOTE_WRITERS)
         .chain([state.settings.agent_address])
         .collect()
 }
 
 impl Claim {
-    /// Tells the table how the request ended. It is tried again for a while:
-    /// until it is told, a repeat hears that the outcome is unknown.
+    /// Writes the request's outcome in the background, with retries. Until it
+    /// is written, a repeat receives an unknown outcome.
     pub(crate) fn end(mut self, state: &Arc<State>, outcome: Outcome) {
         let state = state.clone();
         self.row.state = ClaimState::Ended(outcome);
         tokio::spawn(async move {
-            for _ in 0..END_TRIES {
+            for _ in 0..MAX_END_ATTEMPTS {
                 let view = state.view.load_full();
                 let expect = ClaimExpect::Version(self.version);
                 match write(&state, &view, &self.row_key, &self.row, expect).await {
                     ClaimAnswer::Written { .. } => return,
                     ClaimAnswer::Found { .. } | ClaimAnswer::Gone => break,
                     ClaimAnswer::Unavailable | ClaimAnswer::Unsettled => {
-                        tokio::time::sleep(END_PAUSE).await;
+                        tokio::time::sleep(RETRY_PAUSE).await;
                     }
                 }
             }
-            log::warn!(target: PART, "End of {} not written: {outcome}.", self.row.request);
+            log::warn!(target: LOG_TARGET, "Could not write the outcome of request {}: {outcome}.", self.row.request);
         });
     }
 }
 
-/// Milliseconds of Unix time. Claims outlive routers, so that their deadlines
-/// are by the wall clock; a skewed one only changes when a repeat hears
-/// `key-used` in place of `key-in-use`.
+/// Milliseconds of Unix time. Claims outlive routers, so deadlines use the wall
+/// clock. Skew only shifts when a repeat gets `key-used` for `key-in-use`.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/router/src/explain.rs
+++ b/crates/router/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations: why a request went where it went, and each hop's time.
+//! Explanations of routing decisions, with the time of each hop.
 
 use std::collections::{HashMap, VecDeque};
 use std::convert::Infallible;
@@ -11,16 +11,16 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// An engine that was weighed for a request.
+/// An endpoint that was considered for a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Why it was a candidate.
     pub role: CandidateRole,
-    /// What its owner answered, in words.
+    /// Answer of its owner, or result of the attempt.
     pub answer: &'static str,
-    /// Requests in progress there, if its owner said.
+    /// Requests in progress on it, if reported.
     pub in_progress: Option<u32>,
 }
 
@@ -28,24 +28,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CandidateRole {
-    /// The caller's hint names it.
+    /// The affinity hint names it.
     Hint,
-    /// It comes first for the chat.
+    /// It ranks first for the request's key.
     FirstRank,
-    /// One of a few others, after the home was refused.
+    /// An alternative to the home engine.
     Other,
-    /// It took over after an attempt failed.
+    /// Used after a failed attempt.
     Retry,
 }
 
 /// One hop of a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Hop {
-    /// What was done.
+    /// The operation.
     pub name: &'static str,
-    /// When it began, from the request's entry.
+    /// Start, in microseconds since the request arrived.
     pub start_us: u64,
-    /// How long it took.
+    /// Duration in microseconds.
     pub duration_us: u64,
 }
 
@@ -60,15 +60,15 @@
     pub organisation: Option<OrganisationId>,
     /// The pool, once known.
     pub pool: Option<PoolId>,
-    /// Endpoints weighed, in order.
+    /// Endpoints considered, in order.
     pub candidates: Vec<Candidate>,
     /// The endpoint that served it.
     pub chosen: Option<EndpointId>,
-    /// What the caller was told.
+    /// The outcome sent to the caller.
     pub outcome: Option<Outcome>,
     /// Why it was refused or failed.
     pub reason: Option<Reason>,
-    /// Bytes of the prompt that the engine found cached.
+    /// Prompt tokens that the engine found in its cache.
     pub cached_tokens: Option<u64>,
     /// Hops with their times.
     pub hops: Vec<Hop>,
@@ -93,13 +93,13 @@
         }
     }
 
-    /// When the request entered.
+    /// Returns when the request arrived.
     pub(crate) fn entered_at(&self) -> Instant {
         self.entered_at
     }
 
-    /// Adds a hop that began at `start` and ends now.
-    pub(crate) fn hop(&mut self, name: &'static str, start: Instant) {
+    /// Records a hop from `start` to now.
+    pub(crate) fn record_hop(&mut self, name: &'static str, start: Instant) {
         self.hops.push(Hop {
             name,
             start_us: start.duration_since(self.entered_at).as_micros() as u64,
@@ -108,9 +108,9 @@
     }
 }
 
-/// Keeps the newest explanations.
+/// Actor that keeps the newest explanations.
 pub(crate) struct Recorder {
-    kept: usize,
+    capacity: usize,
     by_request: HashMap<RequestId, Arc<Explanation>>,
     order: VecDeque<RequestId>,
 }
@@ -119,16 +119,16 @@
     type Args = usize;
     type Error = Infallible;
 
-    async fn on_start(kept: usize, _: ActorRef<Self>) -> Result<Self, Infallible> {
+    async fn on_start(capacity: usize, _: ActorRef<Self>) -> Result<Self, Infallible> {
         Ok(Self {
-            kept,
+            capacity,
             by_request: HashMap::new(),
             order: VecDeque::new(),
         })
     }
 }
 
-/// An explanation that is complete.
+/// Stores a complete explanation.
 pub(crate) struct Record(pub(crate) Explanation);
 
 impl Message<Record> for Recorder {
@@ -139,7 +139,7 @@
         self.by_request
             .insert(request.clone(), Arc::new(explanation));
         self.order.push_back(request);
-        while self.order.len() > self.kept {
+        while self.order.len() > self.capacity {
             if let Some(oldest) = self.order.pop_front() {
                 self.by_request.remove(&oldest);
             }
@@ -147,7 +147,7 @@
     }
 }
 
-/// Asks for the explanation of a request.
+/// Finds the explanation of a request.
 pub(crate) struct Lookup(pub(crate) RequestId);
 
 impl Message<Lookup> for Recorder {
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the agent's view, and reconnects when the agent restarts.
+//! Follows an agent's view and reconnects after a loss.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,77 +11,76 @@
 use crate::state::{State, hello};
 use crate::view::RouterView;
 
-const PART: &str = "router.view";
+const LOG_TARGET: &str = "router.view";
 /// Pause after a failed connection.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// An agent that is silent longer is away: it answers each second.
+/// Longer than the heartbeat interval of an agent, 1 s.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long another host's agent is followed before the own one is tried.
-const FOLLOW_OTHER_FOR: Duration = Duration::from_secs(5);
+/// How long a remote agent is followed before the local one is retried.
+const REMOTE_FOLLOW_LIMIT: Duration = Duration::from_secs(5);
 
-/// Follows the agent beside this router until dropped; while that one is
-/// away, the agent of another host of the last view.
+/// Follows the local agent, or a remote one while it is unavailable.
 pub(crate) async fn follow(state: Arc<State>) {
-    let own = state.settings.agent_address;
+    let local = state.settings.agent_address;
     loop {
-        for address in [Some(own), other_agent(&state, own)].into_iter().flatten() {
+        for address in [Some(local), fallback(&state, local)].into_iter().flatten() {
             let hello = hello(&state.settings.host, &state.fleet_key_sha256, Purpose::View);
             let count = state.traffic.open(Purpose::View);
             match connect(address, hello, count).await {
                 Ok(agent) => {
-                    log::info!(target: PART, "Following agent {address}.");
-                    follow_connected(&state, &agent, address == own).await;
-                    log::warn!(target: PART, "Agent {address} lost. Serving on the last view.");
+                    log::info!(target: LOG_TARGET, "Following agent {address}.");
+                    follow_connected(&state, &agent, address == local).await;
+                    log::warn!(target: LOG_TARGET, "Lost agent {address}, serving from the last view.");
                 }
-                Err(error) => log::debug!(target: PART, "No agent: {error}."),
+                Err(error) => log::debug!(target: LOG_TARGET, "No agent: {error}."),
             }
         }
         tokio::time::sleep(RECONNECT_PAUSE).await;
     }
 }
 
-fn other_agent(state: &State, own: SocketAddr) -> Option<SocketAddr> {
+fn fallback(state: &State, local: SocketAddr) -> Option<SocketAddr> {
     let view = state.view.load();
     let others = view.hosts.hosts.iter().map(|host| host.agent_address);
-    let others: Vec<_> = others.filter(|address| *address != own).collect();
-    // Routers spread over the agents by their own name.
-    let turn = chalkrock_core::rendezvous::MemberHash::of(state.settings.host.as_str()).0;
-    let pick = (turn as usize).checked_rem(others.len())?;
-    others.get(pick).copied()
+    let others: Vec<_> = others.filter(|address| *address != local).collect();
+    // Spreads routers over the remote agents.
+    let hash = chalkrock_core::rendezvous::MemberHash::of(state.settings.host.as_str()).0;
+    let index = (hash as usize).checked_rem(others.len())?;
+    others.get(index).copied()
 }
 
-/// Follows one connection until it breaks; another host's agent only for a
-/// while, so that the own one is tried again.
-async fn follow_connected(state: &State, agent: &AgentApiClient, is_own: bool) {
-    // A restarted agent counts its host lists anew.
+/// Follows one connection until it fails. A remote agent is followed for a
+/// limited time, so that the local one is retried.
+async fn follow_connected(state: &State, agent: &AgentApiClient, is_local: bool) {
+    // A restarted agent numbers its host lists from the start.
     let mut known = KnownView {
         config_version: state.view.load().config_version,
         hosts_number: 0,
     };
-    let since = Instant::now();
-    while is_own || since.elapsed() < FOLLOW_OTHER_FOR {
+    let started_at = Instant::now();
+    while is_local || started_at.elapsed() < REMOTE_FOLLOW_LIMIT {
         let watch = agent.watch_view(tarpc::context::current(), known);
         match tokio::time::timeout(WATCH_TIMEOUT, watch).await {
-            Ok(Ok(Ok(update))) => take(state, update, &mut known),
+            Ok(Ok(Ok(update))) => apply_update(state, update, &mut known),
             Ok(Ok(Err(error))) => {
-                log::warn!(target: PART, "Agent refused: {error}.");
+                log::warn!(target: LOG_TARGET, "Agent rejected the request: {error}.");
                 return;
             }
             Ok(Err(error)) => {
-                log::debug!(target: PART, "Agent connection: {error}.");
+                log::debug!(target: LOG_TARGET, "Agent connection failed: {error}.");
                 return;
             }
             Err(_) => {
-                log::debug!(target: PART, "Agent does not answer.");
+                log::debug!(target: LOG_TARGET, "Agent timed out.");
                 return;
             }
         }
     }
 }
 
-/// Takes an update over. Configuration versions only rise, whatever an agent
-/// offers: one that restarted in a platform outage may know less than we do.
-fn take(state: &State, update: ViewUpdate, known: &mut KnownView) {
+/// Applies an update. Older configurations are ignored: an agent that restarted
+/// during a platform outage may have one.
+fn apply_update(state: &State, update: ViewUpdate, known: &mut KnownView) {
     let mut view = RouterView::clone(&state.view.load());
     view.confirmed_at = Instant::now();
     if let Some(body) = update
@@ -90,12 +89,12 @@
     {
         match serde_json::from_str::<FleetConfig>(&body.json) {
             Ok(config) => {
-                log::info!(target: PART, "Configuration {} in force.", body.version);
+                log::info!(target: LOG_TARGET, "Applied configuration {}.", body.version);
                 view.config_version = body.version;
                 view.config = Arc::new(config);
             }
             Err(error) => {
-                log::error!(target: PART, "Configuration {} can't be read: {error}.", body.version);
+                log::error!(target: LOG_TARGET, "Invalid configuration {}: {error}.", body.version);
             }
         }
         known.config_version = body.version;
@@ -103,7 +102,7 @@
     if let Some(hosts) = update.hosts {
         known.hosts_number = hosts.number;
         view.set_hosts(hosts.number, hosts.list);
-        state.owners.take_view(&view);
+        state.owners.apply_view(&view);
     }
     state.view.store(Arc::new(view));
     state.view_confirmed.notify_waiters();
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,7 @@
-//! Serves callers: decides, dispatches, streams and explains.
+//! Routes chat completions and service calls to endpoints.
 //!
-//! A router takes chat completions and calls of plain services, chooses an
-//! endpoint by the decisions of `chalkrock-core`, and passes the answer on.
-//! Its view of the fleet comes from the agent beside it.
+//! A router selects an endpoint with `chalkrock-core` and forwards the
+//! response. It receives its view of the fleet from the agent on its host.
 //!
 //! # Example
 //!
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkrock-router`: serves callers.
+//! The `chalkrock-router` program.
 
 use std::process::ExitCode;
 
--- a/crates/router/src/operators.rs
+++ b/crates/router/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: health, readiness, metrics, explanations.
+//! Operators' API: health, readiness, metrics and explanations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use axum::routing::get;
 use chalkrock_core::{RequestId, key_digest};
 
-use crate::entry::bearer;
+use crate::entry::bearer_token;
 use crate::explain::Lookup;
 use crate::refusal::operator_error;
 use crate::state::State;
 
-/// A router whose agent is away longer than this is not ready.
-const AGENT_AWAY_MAX: Duration = Duration::from_secs(30);
+/// Age of the view from which the router is not ready.
+const MAX_VIEW_AGE: Duration = Duration::from_secs(30);
 
 pub(crate) fn app(state: Arc<State>) -> Router {
     Router::new()
@@ -28,12 +28,12 @@
         .with_state(state)
 }
 
-/// The process answers.
+/// Liveness check.
 pub(crate) async fn health() -> &'static str {
     "ok"
 }
 
-/// The balancer may send callers here.
+/// Readiness check for the load balancer.
 pub(crate) async fn ready(Extract(state): Extract<Arc<State>>) -> (StatusCode, &'static str) {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let view = state.view.load();
@@ -46,7 +46,7 @@
     if !view.has_endpoints() {
         return (unavailable, "no live endpoint");
     }
-    if view.confirmed_at.elapsed() > AGENT_AWAY_MAX {
+    if view.confirmed_at.elapsed() > MAX_VIEW_AGE {
         return (unavailable, "agent away");
     }
     (StatusCode::OK, "ready")
@@ -82,7 +82,7 @@
             .operator_key_sha256
             .contains(&key_digest(key))
     };
-    if !bearer(&headers).is_some_and(known) {
+    if !bearer_token(&headers).is_some_and(known) {
         return operator_error(
             StatusCode::UNAUTHORIZED,
             "send Authorization: Bearer OPERATOR_KEY",
@@ -92,11 +92,11 @@
         Ok(Some(explanation)) => Json(&*explanation).into_response(),
         Ok(None) => operator_error(
             StatusCode::NOT_FOUND,
-            "no such request is kept on this host",
+            "this host keeps no explanation of this request",
         ),
         Err(_) => operator_error(
             StatusCode::SERVICE_UNAVAILABLE,
-            "the recorder does not answer",
+            "the recorder is not running",
         ),
     }
 }
--- a/crates/router/src/owners.rs
+++ b/crates/router/src/owners.rs
@@ -1,5 +1,5 @@
-//! Slots of engines: asked of their owners, given back in batches, and told
-//! to whoever owns the engine next.
+//! Requests engine slots from their owners, returns them in batches and reports
+//! held slots to new owners.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -18,45 +18,44 @@
 
 use crate::view::{RouterView, ViewEndpoint};
 
-const PART: &str = "router.slots";
-/// Slots are given back together after this time. A longer one saves bytes and
-/// makes engines look busier than they are: with 20 ms, one caller at a time
-/// met engines at their bound, and p99 rose from 1 to 2 ms.
-const RETURN_AFTER: Duration = Duration::from_millis(2);
-/// Pause before an owner that could not be reached is tried again.
+const LOG_TARGET: &str = "router.slots";
+/// Delay that batches slot returns. A longer one saves traffic but makes engines
+/// look busier than they are.
+const RETURN_DELAY: Duration = Duration::from_millis(2);
+/// Pause after a failed connection to an owner.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(500);
 
 /// Slots of an organisation on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SlotKey {
-    /// The hash of the engine's name.
+    /// Hash of the engine's name.
     pub(crate) engine: u64,
-    /// The low half of the hash of the organisation's name.
+    /// Low half of the hash of the organisation's name.
     pub(crate) organisation: u32,
 }
 
-/// Connections to the agents that own engines, and what is held of them.
+/// Connections to the agents that own engines, and the slots held.
 pub(crate) struct Owners {
     hello: Hello,
     traffic: Arc<Traffic>,
     ask_timeout: Duration,
     links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
-    /// Wakes the task that gives slots back.
-    returned: Notify,
+    /// Wakes the task that returns slots.
+    return_pending: Notify,
     slots: Mutex<HeldSlots>,
     samplers: Mutex<HashMap<PoolId, LoadSampler>>,
 }
 
-/// What this router has on engines.
+/// Requests and slots of this router, by engine.
 #[derive(Default)]
 struct HeldSlots {
-    /// Requests in progress, with a slot or without.
+    /// Requests in progress, with or without a slot.
     busy: HashMap<u64, u32>,
     /// Slots held.
     held: HashMap<SlotKey, u32>,
-    /// Slots to be given back.
-    returns: HashMap<SlotKey, u32>,
-    /// Owners by the newest view.
+    /// Slots to return.
+    pending_returns: HashMap<SlotKey, u32>,
+    /// Owners in the newest view.
     owners: HashMap<u64, SocketAddr>,
 }
 
@@ -64,13 +63,13 @@
 struct Link {
     client: ArcSwapOption<AgentApiClient>,
     connecting: AtomicBool,
-    /// The last try to connect failed.
+    /// Whether the last connection attempt failed.
     failed: AtomicBool,
     connected: Notify,
 }
 
-/// A request on an engine; dropped at its end.
-pub(crate) struct OnEngine {
+/// A request in progress on an engine. Dropping it returns its slot.
+pub(crate) struct InFlightRequest {
     owners: Arc<Owners>,
     slot: SlotKey,
     holds_slot: bool,
@@ -86,7 +85,7 @@
             traffic,
             ask_timeout,
             links: Mutex::default(),
-            returned: Notify::new(),
+            return_pending: Notify::new(),
             slots: Mutex::default(),
             samplers: Mutex::default(),
         })
@@ -109,9 +108,9 @@
         links.entry(owner).or_insert_with(new).clone()
     }
 
-    /// Asks an engine's owner for a slot. `None` if there is no owner that
-    /// grants: none answers in time, or it has owned the engine too short.
-    pub(crate) async fn ask(
+    /// Requests a slot from an engine's owner. Returns `None` if the owner does
+    /// not answer in time or does not grant slots of this engine yet.
+    pub(crate) async fn request_slot(
         self: &Arc<Self>,
         engine: &ViewEndpoint,
         organisation: u32,
@@ -129,7 +128,7 @@
             wait_ms: wait_ms as u16,
             sampled_mean_thousandths: self.sampled_thousandths(&engine.endpoint.pool),
         };
-        match tokio::time::timeout(limit, self.ask_owner(owner, ask)).await {
+        match tokio::time::timeout(limit, self.request_from(owner, ask)).await {
             Ok(Some(SlotAnswer::Granted { in_progress })) => {
                 *self.slots().held.entry(slot).or_insert(0) += 1;
                 Some(SlotResponse::Granted { load: in_progress })
@@ -143,7 +142,7 @@
             Ok(Some(SlotAnswer::Leaving)) => Some(SlotResponse::Unavailable),
             Ok(Some(SlotAnswer::NotOwner) | None) => None,
             Err(_) => {
-                log::debug!(target: PART, "Owner {owner} does not answer.");
+                log::debug!(target: LOG_TARGET, "Owner {owner} timed out.");
                 None
             }
         }
@@ -155,8 +154,7 @@
         mean.map_or(0, |mean| (mean * 1_000.0) as u32)
     }
 
-    /// Samples the load that an owner answered of an engine that a chat's
-    /// hash picked.
+    /// Records a load sample of an engine selected by hash.
     pub(crate) fn sample(&self, engine: &ViewEndpoint, load: u32) {
         let relative = f64::from(load) / f64::from(engine.endpoint.slots);
         let mut samplers = self.samplers.lock().unwrap_or_else(PoisonError::into_inner);
@@ -166,35 +164,35 @@
             .record(relative);
     }
 
-    async fn ask_owner(self: &Arc<Self>, owner: SocketAddr, ask: SlotAsk) -> Option<SlotAnswer> {
+    async fn request_from(self: &Arc<Self>, owner: SocketAddr, ask: SlotAsk) -> Option<SlotAnswer> {
         let link = self.link(owner);
         let connected = link.connected.notified();
         if link.client.load().is_none() {
-            // An owner that was not reached a moment ago costs no more time.
+            // Does not wait for an owner whose last connection attempt failed.
             if link.failed.load(Ordering::SeqCst) {
-                self.connect_later(owner, link.clone());
+                self.spawn_connect(owner, link.clone());
                 return None;
             }
-            self.connect_later(owner, link.clone());
+            self.spawn_connect(owner, link.clone());
             connected.await;
         }
         let client = link.client.load_full()?;
-        match client.ask_slot(untraced(), ask).await {
+        match client.ask_slot(untraced_context(), ask).await {
             Ok(Ok(answer)) => Some(answer),
             Ok(Err(error)) => {
-                log::warn!(target: PART, "Owner {owner} refused: {error}.");
+                log::warn!(target: LOG_TARGET, "Owner {owner} rejected the request: {error}.");
                 None
             }
             Err(error) => {
-                log::debug!(target: PART, "Owner {owner} lost: {error}.");
+                log::debug!(target: LOG_TARGET, "Lost connection to owner {owner}: {error}.");
                 link.client.store(None);
                 None
             }
         }
     }
 
-    /// Connects in a task of its own: an ask that gives up must not end it.
-    fn connect_later(self: &Arc<Self>, owner: SocketAddr, link: Arc<Link>) {
+    /// Connects in a separate task, so that a timed-out request does not cancel it.
+    fn spawn_connect(self: &Arc<Self>, owner: SocketAddr, link: Arc<Link>) {
         if link.connecting.swap(true, Ordering::SeqCst) {
             return;
         }
@@ -203,14 +201,14 @@
             let count = owners.traffic.open(Purpose::Slots);
             match connect(owner, owners.hello.clone(), count).await {
                 Ok(client) => {
-                    owners.tell_held(&client, owner).await;
+                    owners.send_held(&client, owner).await;
                     link.client.store(Some(Arc::new(client)));
                     link.failed.store(false, Ordering::SeqCst);
                     link.connecting.store(false, Ordering::SeqCst);
                     link.connected.notify_waiters();
                 }
                 Err(error) => {
-                    log::debug!(target: PART, "{error}.");
+                    log::debug!(target: LOG_TARGET, "{error}.");
                     link.failed.store(true, Ordering::SeqCst);
                     link.connected.notify_waiters();
                     tokio::time::sleep(RECONNECT_PAUSE).await;
@@ -220,116 +218,116 @@
         });
     }
 
-    /// Tells an owner what is held of its engines: it may have restarted.
-    async fn tell_held(&self, client: &AgentApiClient, owner: SocketAddr) {
-        let held = self.slots().held_of(owner);
+    /// Reports held slots to an owner that may have restarted.
+    async fn send_held(&self, client: &AgentApiClient, owner: SocketAddr) {
+        let held = self.slots().held_for(owner);
         if held.is_empty() {
             return;
         }
         if let Err(error) = client.adopt_slots(context::current(), held).await {
-            log::debug!(target: PART, "Owner {owner} not told: {error}.");
+            log::debug!(target: LOG_TARGET, "Could not report held slots to owner {owner}: {error}.");
         }
     }
 
-    /// Takes a new view over: new owners are told what is held.
-    pub(crate) fn take_view(self: &Arc<Self>, view: &RouterView) {
-        let moved = self.slots().take_owners(view);
+    /// Applies a new view and reports held slots to new owners.
+    pub(crate) fn apply_view(self: &Arc<Self>, view: &RouterView) {
+        let moved = self.slots().update_owners(view);
         for (owner, held) in moved {
             let owners = self.clone();
-            tokio::spawn(async move { owners.adopt(owner, held).await });
+            tokio::spawn(async move { owners.report_moved(owner, held).await });
         }
-        // Connections stand before the first ask needs them.
+        // Connects early, so that the first request does not wait.
         for host in &view.hosts.hosts {
             let link = self.link(host.agent_address);
             if link.client.load().is_none() {
-                self.connect_later(host.agent_address, link);
+                self.spawn_connect(host.agent_address, link);
             }
         }
     }
 
-    async fn adopt(self: Arc<Self>, owner: SocketAddr, held: Vec<SlotCount>) {
+    async fn report_moved(self: Arc<Self>, owner: SocketAddr, held: Vec<SlotCount>) {
         let client = self.link(owner).client.load_full();
-        // Without a connection the next one begins by telling what is held.
+        // A new connection starts with a report of held slots.
         let Some(client) = client else {
             return;
         };
         if let Err(error) = client.adopt_slots(context::current(), held).await {
-            log::debug!(target: PART, "Owner {owner} not told: {error}.");
+            log::debug!(target: LOG_TARGET, "Could not report held slots to owner {owner}: {error}.");
         }
     }
 
-    /// Gives slots back in batches until dropped.
+    /// Returns slots in batches until dropped.
     pub(crate) async fn return_slots(self: Arc<Self>) {
         loop {
-            self.returned.notified().await;
-            tokio::time::sleep(RETURN_AFTER).await;
+            self.return_pending.notified().await;
+            tokio::time::sleep(RETURN_DELAY).await;
             let batches = self.slots().take_returns();
             for (owner, returns) in batches {
                 let Some(client) = self.link(owner).client.load_full() else {
                     continue;
                 };
                 tokio::spawn(async move {
-                    let returned = client.return_slots(untraced(), returns).await;
+                    let returned = client.return_slots(untraced_context(), returns).await;
                     if let Err(error) = returned {
-                        log::debug!(target: PART, "Owner {owner} lost slots: {error}.");
+                        log::debug!(target: LOG_TARGET, "Could not return slots to owner {owner}: {error}.");
                     }
                 });
             }
         }
     }
 
-    /// A request goes to an engine, with a slot or without.
-    pub(crate) fn enter(self: &Arc<Self>, slot: SlotKey, holds_slot: bool) -> OnEngine {
+    /// Counts a request on an engine, with or without a slot.
+    pub(crate) fn begin(self: &Arc<Self>, slot: SlotKey, holds_slot: bool) -> InFlightRequest {
         *self.slots().busy.entry(slot.engine).or_insert(0) += 1;
-        OnEngine {
+        InFlightRequest {
             owners: self.clone(),
             slot,
             holds_slot,
         }
     }
 
-    /// A slot was granted and is not needed.
-    pub(crate) fn give_back(&self, slot: SlotKey) {
-        self.slots().give_back(slot);
-        self.returned.notify_one();
+    /// Returns a granted slot that is not needed.
+    pub(crate) fn return_slot(&self, slot: SlotKey) {
+        self.slots().return_slot(slot);
+        self.return_pending.notify_one();
     }
 
-    /// Requests of this router in progress on each of these engines.
-    pub(crate) fn busy_on(&self, engines: &[ViewEndpoint]) -> Vec<u32> {
+    /// Returns this router's requests in progress on each engine.
+    pub(crate) fn in_progress_on(&self, engines: &[ViewEndpoint]) -> Vec<u32> {
         let slots = self.slots();
         let busy = |engine: &ViewEndpoint| slots.busy.get(&engine.hash.0).copied().unwrap_or(0);
         engines.iter().map(busy).collect()
     }
 }
 
-impl Drop for OnEngine {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let mut slots = self.owners.slots();
-        decrease(&mut slots.busy, self.slot.engine);
+        decrement(&mut slots.busy, self.slot.engine);
         if self.holds_slot {
-            slots.give_back(self.slot);
-            self.owners.returned.notify_one();
+            slots.return_slot(self.slot);
+            self.owners.return_pending.notify_one();
         }
     }
 }
 
 impl HeldSlots {
-    fn give_back(&mut self, slot: SlotKey) {
-        decrease(&mut self.held, slot);
-        *self.returns.entry(slot).or_insert(0) += 1;
+    fn return_slot(&mut self, slot: SlotKey) {
+        decrement(&mut self.held, slot);
+        *self.pending_returns.entry(slot).or_insert(0) += 1;
     }
 
-    fn held_of(&self, owner: SocketAddr) -> Vec<SlotCount> {
-        let of_owner = |slot: &SlotKey| self.owners.get(&slot.engine) == Some(&owner);
-        let held = self.held.iter().filter(|(slot, _)| of_owner(slot));
+    fn held_for(&self, owner: SocketAddr) -> Vec<SlotCount> {
+        let is_owned = |slot: &SlotKey| self.owners.get(&slot.engine) == Some(&owner);
+        let held = self.held.iter().filter(|(slot, _)| is_owned(slot));
         held.map(|(slot, count)| slot.count(*count)).collect()
     }
 
-    /// Returns by owner. Those of an engine without one are forgotten: its
-    /// next owner hears what is held.
+    /// Takes pending returns, by owner. Drops those of engines without an owner,
+    /// as the next owner receives a report of held slots.
     fn take_returns(&mut self) -> HashMap<SocketAddr, Vec<SlotCount>> {
         let mut batches: HashMap<SocketAddr, Vec<SlotCount>> = HashMap::new();
-        for (slot, count) in std::mem::take(&mut self.returns) {
+        for (slot, count) in std::mem::take(&mut self.pending_returns) {
             if let Some(owner) = self.owners.get(&slot.engine) {
                 batches.entry(*owner).or_default().push(slot.count(count));
             }
@@ -337,9 +335,9 @@
         batches
     }
 
-    /// Takes the owners of a view over. Returns what is held of engines that
-    /// moved, by new owner. An engine that left the view keeps its owner.
-    fn take_owners(&mut self, view: &RouterView) -> HashMap<SocketAddr, Vec<SlotCount>> {
+    /// Updates owners from a view. Returns the slots held on engines that moved,
+    /// by new owner. An engine that left the view keeps its owner.
+    fn update_owners(&mut self, view: &RouterView) -> HashMap<SocketAddr, Vec<SlotCount>> {
         let mut moved_to = HashMap::new();
         for endpoint in view.live.values().flatten() {
             let Some(owner) = endpoint.owner else {
@@ -370,15 +368,15 @@
     }
 }
 
-/// A context without trace ids. They would be 27 of an ask's 65 bytes, and
-/// asks are most of the control traffic; the router's own span covers the hop.
-fn untraced() -> context::Context {
+/// Returns a context without trace ids, which would nearly double the size of a
+/// slot request. The router's span covers the hop.
+fn untraced_context() -> context::Context {
     let mut context = context::current();
     context.trace_context = Default::default();
     context
 }
 
-fn decrease<K: Eq + Hash>(counts: &mut HashMap<K, u32>, key: K) {
+fn decrement<K: Eq + Hash>(counts: &mut HashMap<K, u32>, key: K) {
     if let Some(count) = counts.get_mut(&key) {
         *count -= 1;
         if *count == 0 {
--- a/crates/router/src/place.rs
+++ b/crates/router/src/place.rs
@@ -1,4 +1,4 @@
-//! Finds the engine of one request, by the core's search.
+//! Selects the engine of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,47 +13,47 @@
 use tokio::time::Instant;
 
 use crate::explain::{Candidate, CandidateRole, Explanation};
-use crate::owners::{OnEngine, SlotKey};
+use crate::owners::{InFlightRequest, SlotKey};
 use crate::refusal::Refusal;
 use crate::state::State;
 use crate::view::ViewEndpoint;
 
-/// What is known of a chat before its engine is chosen.
+/// Properties of a chat that determine its engine.
 #[derive(Clone, Debug)]
-pub(crate) struct ChatPlace {
+pub(crate) struct ChatPlacement {
     pub(crate) key: KeyHash,
-    /// The low half of the hash of the organisation's name.
+    /// Low half of the hash of the organisation's name.
     pub(crate) organisation: u32,
-    /// The engine that the caller's hint names.
+    /// Engine named by the affinity hint.
     pub(crate) hint: Option<EndpointId>,
-    /// Whether it has turns behind it.
-    pub(crate) returns: bool,
-    /// How long a warm engine is worth waiting for.
+    /// Whether it contains earlier assistant messages.
+    pub(crate) has_history: bool,
+    /// How long to wait for a warm engine.
     pub(crate) home_wait_ms: u64,
 }
 
-/// An engine that was found, and the request's place on it.
-pub(crate) struct Placed {
+/// The selected engine and the request counted on it.
+pub(crate) struct PlacedRequest {
     pub(crate) engine: ViewEndpoint,
-    pub(crate) on_engine: OnEngine,
+    pub(crate) in_flight: InFlightRequest,
 }
 
-/// Finds an engine among those given.
+/// Selects one of `engines`.
 ///
 /// # Errors
 ///
-/// If there is none, or all that answered are at their bound.
+/// If there is none, or no engine asked has capacity for the organisation.
 pub(crate) async fn place(
     state: &State,
     explanation: &mut Explanation,
     pool: &Pool,
-    chat: &ChatPlace,
+    chat: &ChatPlacement,
     engines: &[ViewEndpoint],
-) -> Result<Placed, Refusal> {
+) -> Result<PlacedRequest, Refusal> {
     let start = Instant::now();
     let mut search = Search::new(state, explanation, pool, chat, engines);
     let found = search.run(pool).await;
-    explanation.hop("place", start);
+    explanation.record_hop("place", start);
     found
 }
 
@@ -74,7 +74,7 @@
         state: &'a State,
         explanation: &'a mut Explanation,
         pool: &Pool,
-        chat: &ChatPlace,
+        chat: &ChatPlacement,
         engines: &'a [ViewEndpoint],
     ) -> Self {
         let option = |e: &ViewEndpoint| EngineCandidate {
@@ -83,7 +83,7 @@
         };
         let hint = chat.hint.as_ref();
         let hinted = hint.and_then(|hint| engines.iter().position(|e| e.endpoint.name == *hint));
-        let home = match (hinted, chat.returns) {
+        let home = match (hinted, chat.has_history) {
             (Some(index), _) => Home::Hinted(index),
             (None, true) => Home::FirstRank,
             (None, false) => Home::Uncached,
@@ -105,12 +105,12 @@
         }
     }
 
-    async fn run(&mut self, pool: &Pool) -> Result<Placed, Refusal> {
+    async fn run(&mut self, pool: &Pool) -> Result<PlacedRequest, Refusal> {
         let mut step = self.placement.start(&self.options);
         loop {
             step = match step {
                 PlacementStep::RequestSlots { engines, wait_ms } => {
-                    self.ask(engines, wait_ms).await
+                    self.request_slots(engines, wait_ms).await
                 }
                 PlacementStep::Pause { pause_ms } => {
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
@@ -122,29 +122,29 @@
                     surplus,
                 } => {
                     for index in surplus {
-                        self.state.owners.give_back(self.slot(index));
+                        self.state.owners.return_slot(self.slot(index));
                     }
-                    return Ok(self.placed(to, with_slot));
+                    return Ok(self.begin_on(to, with_slot));
                 }
                 PlacementStep::RefuseAtBound => {
-                    let detail = format!("all engines asked in {} are at their bound", pool.name);
+                    let detail = format!("all engines asked in {} are at capacity", pool.name);
                     return Err(Refusal::new(Reason::AtBound, detail));
                 }
                 PlacementStep::RefuseOverShare => {
-                    let detail = format!("{} is nearly full, and you have your share", pool.name);
+                    let detail = format!("{} is nearly full and your share is used up", pool.name);
                     return Err(Refusal::new(Reason::OverShare, detail));
                 }
-                PlacementStep::NoOwner => return self.without_owner(pool),
+                PlacementStep::NoOwner => return self.place_locally(pool),
                 PlacementStep::AwaitResponses => {
-                    let detail = "the search waits for an answer that came";
+                    let detail = "the placement waits for a response that was already recorded";
                     return Err(Refusal::new(Reason::NoEndpoint, detail));
                 }
             };
         }
     }
 
-    /// Asks owners at once, and gives the search each answer as it comes.
-    async fn ask(&mut self, indexes: Vec<usize>, wait_ms: u64) -> PlacementStep {
+    /// Requests slots concurrently and passes each response to the placement.
+    async fn request_slots(&mut self, indexes: Vec<usize>, wait_ms: u64) -> PlacementStep {
         let owners: &Arc<_> = &self.state.owners;
         let (engines, organisation) = (self.engines, self.organisation);
         let mut asks: FuturesUnordered<_> = indexes
@@ -152,7 +152,9 @@
             .map(|index| async move {
                 (
                     index,
-                    owners.ask(&engines[index], organisation, wait_ms).await,
+                    owners
+                        .request_slot(&engines[index], organisation, wait_ms)
+                        .await,
                 )
             })
             .collect();
@@ -165,25 +167,25 @@
             {
                 self.state.owners.sample(&self.engines[index], load);
             }
-            self.note(index, answer);
+            self.record_candidate(index, answer);
             step = self.placement.record_response(&self.options, index, answer);
         }
         step
     }
 
-    /// Without an owner, an engine is judged by this router's own requests.
+    /// Estimates an engine's load from this router's requests.
     fn estimate(&self, index: usize) -> SlotResponse {
-        let busy = self.state.owners.busy_on(self.engines);
+        let busy = self.state.owners.in_progress_on(self.engines);
         match has_local_capacity(&self.options, index, &busy, self.load_multiple) {
             true => SlotResponse::Estimated { load: busy[index] },
             false => SlotResponse::Unavailable,
         }
     }
 
-    /// No owner answers: the router holds the bound over its own requests.
-    /// What each router keeps balanced is balanced in sum.
-    fn without_owner(&mut self, pool: &Pool) -> Result<Placed, Refusal> {
-        let busy = self.state.owners.busy_on(self.engines);
+    /// Selects an engine by this router's requests, as no owner answers. Balance
+    /// on each router balances the total.
+    fn place_locally(&mut self, pool: &Pool) -> Result<PlacedRequest, Refusal> {
+        let busy = self.state.owners.in_progress_on(self.engines);
         let chosen = choose_locally(
             &self.options,
             self.home,
@@ -198,13 +200,13 @@
         self.state
             .metrics
             .count("placed_without_owner_total", "", 1);
-        Ok(self.placed(index, false))
+        Ok(self.begin_on(index, false))
     }
 
-    fn placed(&self, index: usize, holds_slot: bool) -> Placed {
+    fn begin_on(&self, index: usize, holds_slot: bool) -> PlacedRequest {
         let engine = self.engines[index].clone();
-        let on_engine = self.state.owners.enter(self.slot(index), holds_slot);
-        Placed { engine, on_engine }
+        let in_flight = self.state.owners.begin(self.slot(index), holds_slot);
+        PlacedRequest { engine, in_flight }
     }
 
     fn slot(&self, index: usize) -> SlotKey {
@@ -214,7 +216,7 @@
         }
     }
 
-    fn note(&mut self, index: usize, answer: SlotResponse) {
+    fn record_candidate(&mut self, index: usize, answer: SlotResponse) {
         let (answer, in_progress) = match answer {
             SlotResponse::Granted { load } => ("granted", Some(load)),
             SlotResponse::AtBound { load } => ("at its bound", Some(load)),
--- a/crates/router/src/refusal.rs
+++ b/crates/router/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers that are not an endpoint's: typed JSON errors, sent at once.
+//! Typed JSON errors that the router sends.
 
 use axum::Json;
 use axum::http::{HeaderMap, HeaderValue, StatusCode};
@@ -6,12 +6,12 @@
 use chalkrock_core::{Outcome, Reason, RequestId};
 use serde::Serialize;
 
-/// The header that names a request.
-pub(crate) const REQUEST_ID: &str = "x-request-id";
-/// The header that tells whether the request ran.
-pub(crate) const OUTCOME: &str = "chalkrock-outcome";
+/// Header of the request id.
+pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
+/// Header that reports whether the request ran.
+pub(crate) const OUTCOME_HEADER: &str = "chalkrock-outcome";
 
-/// A final answer without an endpoint's answer.
+/// An error response of the router.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     pub(crate) reason: Reason,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The JSON body, the same in an answer and in a stream's last event.
+    /// Builds the JSON body, also used as a stream's last event.
     pub(crate) fn body(&self, request: &RequestId) -> String {
         let body = Body {
             error: BodyError {
@@ -56,7 +56,7 @@
         serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// The whole answer.
+    /// Builds the response.
     pub(crate) fn into_answer(self, request: &RequestId) -> Response {
         let status = StatusCode::from_u16(self.reason.status());
         let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -66,27 +66,27 @@
         if let Some(seconds) = self.reason.retry_after_s() {
             headers.insert("retry-after", HeaderValue::from(seconds));
         }
-        mark(headers, request, self.reason.outcome());
+        set_outcome_headers(headers, request, self.reason.outcome());
         response
     }
 }
 
-/// Names the request in an answer's headers.
-pub(crate) fn name(headers: &mut HeaderMap, request: &RequestId) {
+/// Sets the request id header.
+pub(crate) fn set_request_id(headers: &mut HeaderMap, request: &RequestId) {
     if let Ok(id) = HeaderValue::from_str(request.as_str()) {
-        headers.insert(REQUEST_ID, id);
+        headers.insert(REQUEST_ID_HEADER, id);
     }
 }
 
-/// Names the request and its outcome in an answer's headers.
-pub(crate) fn mark(headers: &mut HeaderMap, request: &RequestId, outcome: Outcome) {
-    name(headers, request);
+/// Sets the request id and outcome headers.
+pub(crate) fn set_outcome_headers(headers: &mut HeaderMap, request: &RequestId, outcome: Outcome) {
+    set_request_id(headers, request);
     if let Ok(outcome) = HeaderValue::from_str(&outcome.to_string()) {
-        headers.insert(OUTCOME, outcome);
+        headers.insert(OUTCOME_HEADER, outcome);
     }
 }
 
-/// A typed JSON error of the operators' port.
+/// Builds a JSON error of the operators' API.
 pub(crate) fn operator_error(status: StatusCode, message: &str) -> Response {
     let body = serde_json::json!({"error": {"type": "operator", "message": message}});
     (status, Json(body)).into_response()
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,8 +1,8 @@
-//! Passes an engine's stream on to the caller: in order, whole, and its own.
+//! Relays an engine's event stream to the caller, in order and without gaps.
 //!
-//! Events carry their number. A repeat is dropped; a gap or a break is closed
-//! by asking the same engine for the stream again from the first missing
-//! event. What can't be closed ends with an error event, never with `[DONE]`.
+//! Events are numbered. Duplicates are dropped. After a gap or a disconnect the
+//! stream is resumed on the same engine from the first missing event, or failed
+//! over to another engine. If both fail, it ends with an error, not `[DONE]`.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -24,72 +24,72 @@
 use crate::claims::Claim;
 use crate::dispatch::{Attempt, CHAT_PATH, json_headers, send};
 use crate::explain::{Explanation, Record};
-use crate::owners::OnEngine;
-use crate::place::{ChatPlace, place};
+use crate::owners::InFlightRequest;
+use crate::place::{ChatPlacement, place};
 use crate::refusal::Refusal;
 use crate::state::State;
 
-/// The end of an OpenAI-style stream.
+/// Last event of an OpenAI-style stream.
 const DONE: &str = "[DONE]";
-/// How often one stream is asked for again without getting any further.
-const RESUMES_MAX: u32 = 3;
-/// Pause before a stream is asked for again.
+/// Resume attempts without a new event.
+const MAX_RESUMES: u32 = 3;
+/// Pause after a failed resume.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
-/// Longest event that is passed on.
-const EVENT_MAX_BYTES: usize = 1024 * 1024;
+/// Longest event that is relayed.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 type SourceError = EventStreamError<reqwest::Error>;
 type Source = Pin<Box<dyn Stream<Item = Result<SourceEvent, SourceError>> + Send>>;
 
-/// A stream on its way to the caller. Dropped before its end, the caller went
-/// away: the engine's connection closes with it, and the engine cancels.
-pub(crate) struct Relay {
+/// A stream to the caller. If the caller disconnects, dropping it closes the
+/// engine's connection, which cancels the request there.
+pub(crate) struct StreamRelay {
     state: Arc<State>,
     explanation: Option<Explanation>,
     endpoint: Endpoint,
-    on_engine: Option<OnEngine>,
+    in_flight: Option<InFlightRequest>,
     claim: Option<Claim>,
-    /// The token that lets another router go on; part of each event's id.
+    /// Token with which any router can resume; part of each event id.
     place: String,
     source: Source,
     order: StreamOrder,
     base: u64,
-    elsewhere: Option<Elsewhere>,
+    failover: Option<Failover>,
     resumes: u32,
     started_at: Instant,
     first_event: bool,
     phase: Phase,
 }
 
-/// A stream that an engine has begun.
-pub(crate) struct Begun {
+/// A stream that an engine has started.
+pub(crate) struct StartedStream {
     pub(crate) endpoint: Endpoint,
-    /// The request's place on the engine; a resumed stream has none here.
-    pub(crate) on_engine: Option<OnEngine>,
-    /// The claim under which it runs.
+    /// The request counted on the engine; `None` for a resumed stream.
+    pub(crate) in_flight: Option<InFlightRequest>,
+    /// The request's claim.
     pub(crate) claim: Option<Claim>,
-    /// The token that lets another router go on.
+    /// Token with which any router can resume.
     pub(crate) place: String,
     pub(crate) response: Response,
-    /// The first event that the caller wants.
-    pub(crate) from: u64,
-    /// The caller's number of the engine's first event.
+    /// Number of the first event to send.
+    pub(crate) first_number: u64,
+    /// Number, in the caller's stream, of the engine's first event.
     pub(crate) base: u64,
-    /// How to go on elsewhere if the engine is lost; `None` for requests that
-    /// may run only once, and for streams that another router began.
-    pub(crate) elsewhere: Option<Elsewhere>,
+    /// Failover state; `None` for requests that are unsafe to repeat and for
+    /// resumed streams.
+    pub(crate) failover: Option<Failover>,
 }
 
-/// What going on at another engine needs.
-pub(crate) struct Elsewhere {
+/// State for failing over to another engine.
+pub(crate) struct Failover {
     pub(crate) pool: Pool,
-    pub(crate) chat: ChatPlace,
-    /// The caller's request.
+    pub(crate) chat: ChatPlacement,
+    /// Body of the caller's request.
     pub(crate) body: Bytes,
-    /// Text sent to the caller so far.
+    /// Text sent to the caller.
     pub(crate) text: String,
-    /// Engines that were lost.
-    pub(crate) lost: Vec<EndpointId>,
+    /// Engines that failed.
+    pub(crate) failed_engines: Vec<EndpointId>,
 }
 
 enum Phase {
@@ -98,7 +98,7 @@
     Ended,
 }
 
-/// What the relay reads of a chunk.
+/// The parsed fields of a chunk.
 #[derive(Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -126,7 +126,7 @@
     cached_tokens: Option<u64>,
 }
 
-/// How one event from the engine is handled.
+/// Action for one event from the engine.
 enum Step {
     Send(Event),
     Skip,
@@ -134,23 +134,23 @@
     Fail(Refusal),
 }
 
-fn source_of(response: Response) -> Source {
+fn event_source(response: Response) -> Source {
     Box::pin(response.bytes_stream().eventsource())
 }
 
-impl Relay {
-    pub(crate) fn new(state: Arc<State>, explanation: Explanation, begun: Begun) -> Self {
+impl StreamRelay {
+    pub(crate) fn new(state: Arc<State>, explanation: Explanation, started: StartedStream) -> Self {
         Self {
             state,
             explanation: Some(explanation),
-            endpoint: begun.endpoint,
-            on_engine: begun.on_engine,
-            claim: begun.claim,
-            place: begun.place,
-            source: source_of(begun.response),
-            order: StreamOrder::starting_at(begun.from),
-            base: begun.base,
-            elsewhere: begun.elsewhere,
+            endpoint: started.endpoint,
+            in_flight: started.in_flight,
+            claim: started.claim,
+            place: started.place,
+            source: event_source(started.response),
+            order: StreamOrder::starting_at(started.first_number),
+            base: started.base,
+            failover: started.failover,
             resumes: 0,
             started_at: Instant::now(),
             first_event: true,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The events for the caller.
+    /// Returns the events for the caller.
     pub(crate) fn into_events(self) -> impl Stream<Item = Result<Event, Infallible>> {
         futures::stream::unfold(self, |mut relay| async move {
             let event = relay.next().await?;
@@ -178,17 +178,17 @@
         }
         loop {
             let step = match self.source.next().await {
-                Some(Ok(event)) => self.take(event),
+                Some(Ok(event)) => self.handle_event(event),
                 Some(Err(_)) | None => Step::Resume,
             };
             match step {
                 Step::Send(event) => return Some(event),
                 Step::Skip => {}
                 Step::Resume => {
-                    // Whatever keeps it from going on elsewhere: the caller has
-                    // part of the answer, and hears that the engine was lost.
+                    // The caller has part of the response, so the error is the
+                    // lost engine, not the failed failover.
                     if let Err(lost) = self.resume().await
-                        && self.go_on_elsewhere().await.is_none()
+                        && self.fail_over().await.is_none()
                     {
                         return Some(self.fail(lost));
                     }
@@ -198,39 +198,39 @@
         }
     }
 
-    fn take(&mut self, event: SourceEvent) -> Step {
+    fn handle_event(&mut self, event: SourceEvent) -> Step {
         if event.data == DONE {
             self.phase = Phase::Closing;
             return Step::Send(self.outcome_event());
         }
-        if event.data.len() > EVENT_MAX_BYTES {
-            return self.garbage("an event is too long");
+        if event.data.len() > MAX_EVENT_BYTES {
+            return self.invalid_event("an event is too long");
         }
         let Ok(number) = event.id.parse::<u64>() else {
-            return self.garbage("an event has no number");
+            return self.invalid_event("an event has no number");
         };
         let number = self.base + number;
         match self.order.accept(number) {
-            // A resume that brought something on was worth it.
+            // Only attempts without progress count.
             Arrival::Forward => self.resumes = 0,
             Arrival::Duplicate => return Step::Skip,
             Arrival::Gap { .. } => return Step::Resume,
         }
         let Ok(chunk) = serde_json::from_str::<Chunk>(&event.data) else {
-            return self.garbage("an event is not JSON");
+            return self.invalid_event("an event is not JSON");
         };
-        self.note(chunk);
+        self.record_chunk(chunk);
         let id = format!("{number}.{}", self.place);
         Step::Send(Event::default().id(id).data(event.data))
     }
 
-    fn note(&mut self, chunk: Chunk) {
-        if let Some(elsewhere) = &mut self.elsewhere {
+    fn record_chunk(&mut self, chunk: Chunk) {
+        if let Some(failover) = &mut self.failover {
             let deltas = chunk
                 .choices
                 .iter()
                 .filter_map(|choice| choice.delta.as_ref());
-            elsewhere
+            failover
                 .text
                 .extend(deltas.filter_map(|delta| delta.content.as_deref()));
         }
@@ -239,7 +239,7 @@
         };
         if self.first_event {
             self.first_event = false;
-            explanation.hop("first event", self.started_at);
+            explanation.record_hop("first event", self.started_at);
             let pool = explanation.pool.as_ref().map_or("", |pool| pool.as_str());
             let labels = format!("pool=\"{pool}\"");
             let latency = explanation.entered_at().elapsed();
@@ -251,21 +251,21 @@
         }
     }
 
-    fn garbage(&self, what: &str) -> Step {
+    fn invalid_event(&self, what: &str) -> Step {
         let detail = format!("{}: {what}", self.endpoint.name);
         Step::Fail(Refusal::new(Reason::EndpointGarbage, detail))
     }
 
-    /// Asks the engine for the stream again, from the first missing event.
+    /// Resumes the stream on the same engine from the first missing event.
     async fn resume(&mut self) -> Result<(), Refusal> {
         let lost = || {
-            let detail = format!("{} stopped in the stream", self.endpoint.name);
+            let detail = format!("lost the stream of {}", self.endpoint.name);
             Refusal::new(Reason::EndpointLost, detail)
         };
         let Some(explanation) = &mut self.explanation else {
             return Err(lost());
         };
-        while self.resumes < RESUMES_MAX {
+        while self.resumes < MAX_RESUMES {
             self.resumes += 1;
             let start = Instant::now();
             let path = format!(
@@ -282,10 +282,10 @@
                 body: Bytes::new(),
             };
             let answer = send(&self.state, attempt).await;
-            explanation.hop("resume", start);
+            explanation.record_hop("resume", start);
             match answer {
                 Ok(response) if response.status().is_success() => {
-                    self.source = source_of(response);
+                    self.source = event_source(response);
                     return Ok(());
                 }
                 _ => tokio::time::sleep(RESUME_PAUSE).await,
@@ -294,22 +294,22 @@
         Err(lost())
     }
 
-    /// Goes on at another engine from the text that the caller has: the same
-    /// request, with that text as the begin of the answer.
-    async fn go_on_elsewhere(&mut self) -> Option<()> {
-        let elsewhere = self.elsewhere.as_mut()?;
+    /// Continues on another engine, with the text sent so far as the start of
+    /// the response.
+    async fn fail_over(&mut self) -> Option<()> {
+        let failover = self.failover.as_mut()?;
         let explanation = self.explanation.as_mut()?;
-        elsewhere.lost.push(self.endpoint.name.clone());
-        self.on_engine = None;
-        let body = continued(&elsewhere.body, &elsewhere.text, self.order.next())?;
+        failover.failed_engines.push(self.endpoint.name.clone());
+        self.in_flight = None;
+        let body = continuation_body(&failover.body, &failover.text, self.order.next())?;
         let view = self.state.view.load_full();
-        let mut engines = view.live_in(&elsewhere.pool.name).to_vec();
-        engines.retain(|engine| !elsewhere.lost.contains(&engine.endpoint.name));
+        let mut engines = view.live_in(&failover.pool.name).to_vec();
+        engines.retain(|engine| !failover.failed_engines.contains(&engine.endpoint.name));
         let placed = place(
             &self.state,
             explanation,
-            &elsewhere.pool,
-            &elsewhere.chat,
+            &failover.pool,
+            &failover.chat,
             &engines,
         )
         .await
@@ -324,7 +324,7 @@
             body,
         };
         let sent = send(&self.state, attempt).await;
-        explanation.hop("go on elsewhere", start);
+        explanation.record_hop("go on elsewhere", start);
         let response = sent
             .ok()
             .filter(|response| response.status().is_success())?;
@@ -340,15 +340,14 @@
         });
         explanation.chosen = Some(placed.engine.endpoint.name.clone());
         self.endpoint = placed.engine.endpoint;
-        self.on_engine = Some(placed.on_engine);
+        self.in_flight = Some(placed.in_flight);
         self.resumes = 0;
-        self.source = source_of(response);
+        self.source = event_source(response);
         self.state.metrics.count("streams_continued_total", "", 1);
         Some(())
     }
 
-    /// Tells the outcome in a chunk without choices, as clients know from
-    /// the usage chunk.
+    /// Reports the outcome in a chunk without choices, like the usage chunk.
     fn outcome_event(&self) -> Event {
         let request = self.explanation.as_ref().map_or("", |e| e.request.as_str());
         let chunk = json!({
@@ -373,37 +372,37 @@
             claim.end(&self.state, outcome);
         }
         if let Some(mut explanation) = self.explanation.take() {
-            explanation.hop("stream", self.started_at);
+            explanation.record_hop("stream", self.started_at);
             self.state.record(explanation, outcome, reason);
         }
     }
 }
 
-/// The caller's request with the answer so far, to be continued. `None` if
-/// the body can't be changed so.
-fn continued(body: &Bytes, text: &str, events: u64) -> Option<Bytes> {
+/// Builds a request that continues the response after `text`. Returns `None` if
+/// the body has no list of messages.
+fn continuation_body(body: &Bytes, text: &str, events: u64) -> Option<Bytes> {
     let mut body: Value = serde_json::from_slice(body).ok()?;
     if let Some(max_tokens) = body.get("max_tokens").and_then(Value::as_u64) {
         body["max_tokens"] = json!(max_tokens.saturating_sub(events));
     }
     if !text.is_empty() {
-        let begun = json!({"role": "assistant", "content": text});
-        body.get_mut("messages")?.as_array_mut()?.push(begun);
+        let started = json!({"role": "assistant", "content": text});
+        body.get_mut("messages")?.as_array_mut()?.push(started);
         body["continue_final_message"] = json!(true);
         body["add_generation_prompt"] = json!(false);
     }
     serde_json::to_vec(&body).ok().map(Bytes::from)
 }
 
-impl Drop for Relay {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
-        // The caller went away. What ran, ran.
+        // The caller disconnected; the request has run.
         self.finish(Outcome::Ran, None);
     }
 }
 
 impl State {
-    /// Keeps a request's explanation and counts its end.
+    /// Records a request's explanation and metrics.
     pub(crate) fn record(
         &self,
         mut explanation: Explanation,
@@ -427,7 +426,7 @@
         self.metrics
             .count("organisation_requests_total", &labels, 1);
         if let Err(error) = self.recorder.tell(Record(explanation)).try_send() {
-            log::debug!(target: "router.explain", "Explanation dropped: {error}.");
+            log::debug!(target: "router.explain", "Dropped an explanation: {error}.");
         }
     }
 }
--- a/crates/router/src/service_calls.rs
+++ b/crates/router/src/service_calls.rs
@@ -1,4 +1,4 @@
-//! `/services/{name}/{path}`: calls of plain services.
+//! Handles service calls at `/services/{name}/{path}`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,17 +16,16 @@
 
 use crate::claims::claim;
 use crate::dispatch::{Attempt, send};
-use crate::entry::{Entered, body_of, enter, is_marked_unsafe, refuse};
+use crate::entry::{Admitted, admit_request, is_marked_unsafe, read_body, refuse};
 use crate::explain::{Candidate, CandidateRole, Explanation};
-use crate::refusal::{Refusal, mark};
+use crate::refusal::{Refusal, set_outcome_headers};
 use crate::state::State;
 use crate::view::ViewEndpoint;
 
-/// Endpoints tried for one call while none has started it.
-const ATTEMPTS_MAX: usize = 3;
-/// Headers that end at the router: they speak of one connection, or carry the
-/// caller's key.
-const NOT_PASSED_ON: [&str; 9] = [
+/// Endpoints tried for one call.
+const MAX_ATTEMPTS: usize = 3;
+/// Headers that are not forwarded: connection headers and the caller's key.
+const STRIPPED_HEADERS: [&str; 9] = [
     "authorization",
     "connection",
     "content-length",
@@ -38,7 +37,7 @@
     "upgrade",
 ];
 
-/// Handles a call.
+/// Handles a service call.
 pub(crate) async fn call(
     Extract(state): Extract<Arc<State>>,
     Path(parts): Path<Vec<String>>,
@@ -46,7 +45,7 @@
 ) -> Response {
     let span = tracing::info_span!("service call");
     chalkrock_process::remote_parent(&span, call.headers());
-    let request = state.request_id();
+    let request = state.next_request_id();
     let mut explanation = Explanation::new(request.clone(), chalkrock_process::trace_id(&span));
     let name = parts.first().map_or("", String::as_str);
     let served = serve(&state, &mut explanation, name, call)
@@ -54,7 +53,7 @@
         .await;
     match served {
         Ok(mut answer) => {
-            mark(answer.headers_mut(), &request, Outcome::Ran);
+            set_outcome_headers(answer.headers_mut(), &request, Outcome::Ran);
             state.record(explanation, Outcome::Ran, None);
             answer
         }
@@ -69,22 +68,22 @@
     call: Request,
 ) -> Result<Response, Refusal> {
     let (head, body) = call.into_parts();
-    let (entered, body) = enter(state, explanation, &head.headers, body).await?;
-    let pool = entered.view.config.pool_for_service(name);
+    let (admitted, body) = admit_request(state, explanation, &head.headers, body).await?;
+    let pool = admitted.view.config.pool_for_service(name);
     let pool =
         pool.ok_or_else(|| Refusal::new(Reason::UnknownService, format!("no service {name:?}")))?;
     explanation.pool = Some(pool.name.clone());
-    let body = body_of(state, body).await?;
+    let body = read_body(state, body).await?;
     let prefix = format!("/services/{name}");
-    let whole = head.uri.path_and_query().map_or("/", |path| path.as_str());
-    let path = whole
+    let target = head.uri.path_and_query().map_or("/", |path| path.as_str());
+    let path = target
         .strip_prefix(&prefix)
         .filter(|path| path.starts_with('/'))
         .unwrap_or("/");
     let claim = claim(
         state,
         explanation,
-        &entered,
+        &admitted,
         &head.headers,
         &body,
         pool.deadline_ms,
@@ -105,7 +104,7 @@
         repeat_safe,
     };
     let deadline = Duration::from_millis(pool.deadline_ms);
-    let calling = dispatch(state, explanation, &entered, pool, call);
+    let calling = dispatch(state, explanation, &admitted, pool, call);
     let served = tokio::time::timeout(deadline, calling)
         .await
         .unwrap_or_else(|_| {
@@ -123,28 +122,28 @@
     served
 }
 
-/// A call on its way to the service.
+/// A call to dispatch.
 struct Call<'a> {
     method: Method,
     path: &'a str,
     headers: &'a HeaderMap,
     body: Bytes,
-    /// Whether it may be sent again after an attempt of unknown outcome.
+    /// Whether it may be retried after an unknown outcome.
     repeat_safe: bool,
 }
 
 async fn dispatch(
     state: &State,
     explanation: &mut Explanation,
-    entered: &Entered,
+    admitted: &Admitted,
     pool: &Pool,
     call: Call<'_>,
 ) -> Result<Response, Refusal> {
     let name = &pool.name;
-    let mut live: Vec<&ViewEndpoint> = entered.view.live_in(&pool.name).iter().collect();
-    let mut refusal = Refusal::new(Reason::NoEndpoint, format!("{name} has no live replica"));
-    for attempt in 0..ATTEMPTS_MAX {
-        if attempt > 0 && !state.may_retry() {
+    let mut live: Vec<&ViewEndpoint> = admitted.view.live_in(&pool.name).iter().collect();
+    let mut refusal = Refusal::new(Reason::NoEndpoint, format!("{name} has no live endpoint"));
+    for attempt in 0..MAX_ATTEMPTS {
+        if attempt > 0 && !state.take_retry() {
             break;
         }
         let key = KeyHash::of(explanation.request.as_str().as_bytes());
@@ -163,11 +162,11 @@
             endpoint: &chosen.endpoint,
             method: call.method.clone(),
             path: call.path,
-            headers: passed_on(call.headers),
+            headers: forwarded_headers(call.headers),
             body: call.body.clone(),
         };
         let sent = send(state, one).await;
-        explanation.hop("dispatch", start);
+        explanation.record_hop("dispatch", start);
         let answer = sent
             .as_ref()
             .map_or_else(|refusal| refusal.reason.code(), |_| "answered");
@@ -181,10 +180,10 @@
         match sent {
             Ok(response) => {
                 if attempt == 0 {
-                    state.first_try_succeeded();
+                    state.record_first_try_success();
                 }
                 explanation.chosen = Some(chosen.endpoint.name.clone());
-                return whole_answer(&explanation.request, response).await;
+                return read_response(&explanation.request, response).await;
             }
             Err(failed) if failed.reason.outcome() == Outcome::NotRun || call.repeat_safe => {
                 refusal = failed;
@@ -195,29 +194,29 @@
     Err(refusal)
 }
 
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = headers.clone();
-    for name in NOT_PASSED_ON {
+    for name in STRIPPED_HEADERS {
         passed.remove(name);
     }
     passed
 }
 
-/// The service's answer, read whole before the caller gets its first byte: so
-/// that the outcome in the head is true.
-async fn whole_answer(
+/// Reads the whole response before any byte is sent, so that the outcome header
+/// is correct.
+async fn read_response(
     request: &RequestId,
     response: reqwest::Response,
 ) -> Result<Response, Refusal> {
     let status = response.status();
     let mut headers = response.headers().clone();
-    for name in NOT_PASSED_ON {
+    for name in STRIPPED_HEADERS {
         headers.remove(name);
     }
     let body: Bytes = response.bytes().await.map_err(|_| {
         Refusal::new(
             Reason::EndpointLost,
-            format!("the answer to {request} broke off"),
+            format!("the response to {request} is incomplete"),
         )
     })?;
     let mut answer = Response::new(Body::from(body));
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -14,36 +14,36 @@
     pub host: HostId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where callers connect.
+    /// Address of the callers' API.
     pub listen: SocketAddr,
-    /// Where operators connect: health, metrics, explanations.
+    /// Address of the operators' API.
     pub operator_listen: SocketAddr,
-    /// The agent beside this router.
+    /// Address of the local agent.
     pub agent_address: SocketAddr,
-    /// The secret that all hosts of the fleet share.
+    /// Secret shared by all hosts of the fleet.
     pub fleet_key: String,
-    /// SHA-256 digests of the operators' keys, hexadecimal.
+    /// Hexadecimal SHA-256 digests of the operators' keys.
     #[serde(default)]
     pub operator_key_sha256: Vec<String>,
-    /// The largest request body that is read.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body_max_bytes")]
     pub body_max_bytes: usize,
-    /// Explanations that are kept.
+    /// Number of explanations to keep.
     #[serde(default = "default_explanations_kept")]
     pub explanations_kept: usize,
-    /// A view older than this is refreshed before the next dispatch.
+    /// Age in milliseconds from which requests wait for a new view.
     #[serde(default = "default_view_max_age_ms")]
     pub view_max_age_ms: u64,
-    /// An owner that does not answer an ask by then is passed over.
+    /// Timeout of a slot request to an owner, in milliseconds.
     #[serde(default = "default_ask_timeout_ms")]
     pub ask_timeout_ms: u64,
-    /// How long a planned stop waits for requests in progress.
+    /// How long a stop waits for requests in progress, in milliseconds.
     #[serde(default = "default_drain_max_ms")]
     pub drain_max_ms: u64,
-    /// Logs.
+    /// Settings of logs.
     #[serde(default)]
     pub logs: LogSettings,
-    /// Spans.
+    /// Settings of spans.
     #[serde(default)]
     pub spans: SpanSettings,
 }
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts a router's parts, and ends them without cutting a request off.
+//! Starts a router and stops it after its requests have ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::state::State;
 use crate::{api, operators};
 
-const PART: &str = "router";
+const LOG_TARGET: &str = "router";
 
 /// A running router.
 pub struct RunningRouter {
@@ -26,25 +26,25 @@
 }
 
 impl RunningRouter {
-    /// Where callers connect.
+    /// Returns the address of the callers' API.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where operators connect.
+    /// Returns the address of the operators' API.
     pub fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// Stops as planned: takes no new requests, and waits for those in
-    /// progress up to the set limit.
+    /// Refuses new requests and waits for those in progress, up to the drain
+    /// limit.
     pub async fn stop(mut self) {
         self.stop.stop();
         if tokio::time::timeout(self.drain_max, &mut self.callers)
             .await
             .is_err()
         {
-            log::warn!(target: PART, "Requests cut off after the drain limit.");
+            log::warn!(target: LOG_TARGET, "Aborted requests after the drain limit.");
             self.callers.abort();
         }
     }
@@ -70,11 +70,11 @@
     let operators = operators::app(state.clone());
     tasks.spawn(async move {
         if let Err(error) = axum::serve(operator_listener, operators).await {
-            log::error!(target: PART, "Operators' server ended: {error}.");
+            log::error!(target: LOG_TARGET, "Operators' server failed: {error}.");
         }
     });
     let callers = tokio::spawn(serve_callers(listener, api::app(state.clone()), stop));
-    log::info!(target: PART, "Host {} listens on {address}.", state.settings.host);
+    log::info!(target: LOG_TARGET, "Host {} listens on {address}.", state.settings.host);
     Ok(RunningRouter {
         address,
         operator_address,
@@ -89,12 +89,12 @@
     let listener =
         axum::serve::ListenerExt::tap_io(listener, |stream: &mut tokio::net::TcpStream| {
             if let Err(error) = stream.set_nodelay(true) {
-                log::debug!(target: PART, "No nodelay: {error}.");
+                log::debug!(target: LOG_TARGET, "Cannot set TCP_NODELAY: {error}.");
             }
         });
     let serving =
         axum::serve(listener, app).with_graceful_shutdown(async move { stop.asked().await });
     if let Err(error) = serving.await {
-        log::error!(target: PART, "Callers' server ended: {error}.");
+        log::error!(target: LOG_TARGET, "Callers' server failed: {error}.");
     }
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a router share.
+//! State shared by all requests of a router.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,7 +19,7 @@
 
 /// Idle connections kept to each endpoint.
 const IDLE_CONNECTIONS: usize = 256;
-/// How long connecting to an endpoint may take.
+/// Timeout of a connection to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(crate) struct State {
@@ -27,7 +27,7 @@
     pub(crate) fleet_key_sha256: Arc<str>,
     pub(crate) tokens: TokenKey,
     pub(crate) view: ArcSwap<RouterView>,
-    pub(crate) endpoints: reqwest::Client,
+    pub(crate) http: reqwest::Client,
     pub(crate) recorder: ActorRef<Recorder>,
     pub(crate) metrics: Metrics,
     pub(crate) owners: Arc<Owners>,
@@ -35,16 +35,16 @@
     pub(crate) claim_writers: ClaimWriters,
     retries: Mutex<RetryBudget>,
     pub(crate) hello: Hello,
-    /// Wakes whoever waits for a younger view.
+    /// Wakes requests that wait for a recent view.
     pub(crate) view_confirmed: Notify,
     pub(crate) stop: Stop,
-    next_request: AtomicU64,
-    life: u64,
+    next_request_number: AtomicU64,
+    instance: u64,
 }
 
 impl State {
     pub(crate) fn new(settings: RouterSettings, stop: Stop) -> eyre::Result<Self> {
-        let endpoints = reqwest::Client::builder()
+        let http = reqwest::Client::builder()
             .no_proxy()
             .tcp_nodelay(true)
             .pool_max_idle_per_host(IDLE_CONNECTIONS)
@@ -65,52 +65,52 @@
             fleet_key_sha256,
             tokens: TokenKey::new(settings.fleet_key.as_bytes()),
             view: ArcSwap::from_pointee(RouterView::empty()),
-            endpoints,
+            http,
             recorder: Recorder::spawn(settings.explanations_kept),
             metrics: Metrics::default(),
             stop,
-            next_request: AtomicU64::new(0),
-            life: uuid::Uuid::new_v4().as_u64_pair().0,
+            next_request_number: AtomicU64::new(0),
+            instance: uuid::Uuid::new_v4().as_u64_pair().0,
             settings,
         })
     }
 
-    /// Whether one more try of a request is within the budget.
-    pub(crate) fn may_retry(&self) -> bool {
-        let may = self
+    /// Takes one retry from the budget, if it allows one.
+    pub(crate) fn take_retry(&self) -> bool {
+        let allowed = self
             .retries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take();
-        let label = if may {
+        let label = if allowed {
             "result=\"made\""
         } else {
             "result=\"over budget\""
         };
         self.metrics.count("retries_total", label, 1);
-        may
+        allowed
     }
 
-    /// A request was answered at its first try.
-    pub(crate) fn first_try_succeeded(&self) {
+    /// Adds to the retry budget after a success at the first attempt.
+    pub(crate) fn record_first_try_success(&self) {
         self.retries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .record_success();
     }
 
-    /// A request id that names the host, so that an operator's tool knows
-    /// where to ask, and the router's life, so that a restart repeats none.
-    pub(crate) fn request_id(&self) -> RequestId {
-        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
+    /// Returns a new request id. It names the host for operators' tools and the
+    /// router's instance, so that ids stay unique across restarts.
+    pub(crate) fn next_request_id(&self) -> RequestId {
+        let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         RequestId::new(format!(
             "{}.{:016x}.{number}",
-            self.settings.host, self.life
+            self.settings.host, self.instance
         ))
     }
 }
 
-/// The hello of this router for a purpose.
+/// Builds this router's hello for a purpose.
 pub(crate) fn hello(host: &HostId, fleet_key_sha256: &Arc<str>, purpose: Purpose) -> Hello {
     Hello {
         protocol_version: PROTOCOL_VERSION,
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -1,4 +1,4 @@
-//! The router's view of the fleet, prepared for decisions.
+//! The router's view of the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 };
 use tokio::time::Instant;
 
-/// An endpoint with what decisions need of it.
+/// An endpoint with its hash and owner.
 #[derive(Clone, Debug)]
 pub(crate) struct ViewEndpoint {
     pub(crate) endpoint: Endpoint,
     pub(crate) hash: MemberHash,
-    /// Where the agent answers that grants its slots.
+    /// Address of the agent that grants its slots.
     pub(crate) owner: Option<SocketAddr>,
 }
 
@@ -26,9 +26,9 @@
     pub(crate) config: Arc<FleetConfig>,
     pub(crate) hosts_number: u64,
     pub(crate) hosts: Arc<HostList>,
-    /// Endpoints that take new work, by pool.
+    /// Live endpoints by pool.
     pub(crate) live: HashMap<PoolId, Vec<ViewEndpoint>>,
-    /// When the agent last confirmed it.
+    /// When an agent last confirmed the view.
     pub(crate) confirmed_at: Instant,
 }
 
@@ -44,18 +44,18 @@
         }
     }
 
-    /// Whether both halves have come at least once.
+    /// Returns whether configuration and hosts have been received.
     pub(crate) fn is_complete(&self) -> bool {
         self.config_version > ConfigVersion(0) && self.hosts_number > 0
     }
 
-    /// Whether there is a live endpoint to send anything to. A first list
-    /// may be from before the endpoints joined.
+    /// Returns whether there is a live endpoint, or no pool that needs one. The
+    /// first list may be older than the endpoints.
     pub(crate) fn has_endpoints(&self) -> bool {
         self.config.pools.is_empty() || !self.live.is_empty()
     }
 
-    /// The live endpoints of a pool.
+    /// Returns the live endpoints of a pool.
     pub(crate) fn live_in(&self, pool: &PoolId) -> &[ViewEndpoint] {
         self.live.get(pool).map_or(&[], Vec::as_slice)
     }
