--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics of an agent.
+//! Admin API: health, readiness and metrics.
 
 use std::sync::Arc;
 
@@ -7,9 +7,9 @@
 use axum::http::StatusCode;
 use axum::routing::get;
 
-use crate::peers::Shared;
+use crate::peers::PeerContext;
 
-pub(crate) fn app(shared: Arc<Shared>) -> Router {
+pub(crate) fn app(shared: Arc<PeerContext>) -> Router {
     Router::new()
         .route("/healthz", get(|| async { "ok" }))
         .route("/readyz", get(ready))
@@ -17,7 +17,7 @@
         .with_state(shared)
 }
 
-async fn ready(State(shared): State<Arc<Shared>>) -> (StatusCode, &'static str) {
+async fn ready(State(shared): State<Arc<PeerContext>>) -> (StatusCode, &'static str) {
     let view = shared.view.borrow();
     match (&view.config, &view.hosts) {
         (Some(_), Some(_)) => (StatusCode::OK, "ready"),
@@ -26,7 +26,7 @@
     }
 }
 
-async fn metrics(State(shared): State<Arc<Shared>>) -> String {
+async fn metrics(State(shared): State<Arc<PeerContext>>) -> String {
     let version = shared.view.borrow().config_version();
     shared.metrics.gauge("config_version", "", version.0 as f64);
     for (labels, bytes) in shared.traffic.labelled() {
@@ -41,7 +41,7 @@
             f64::from(load),
         );
     }
-    for (pool, mean) in shared.slots.means() {
+    for (pool, mean) in shared.slots.mean_loads() {
         shared
             .metrics
             .gauge("pool_mean_load", &format!("pool=\"{pool}\""), mean);
--- a/crates/agent/src/claims.rs
+++ b/crates/agent/src/claims.rs
@@ -1,9 +1,8 @@
-//! Writes claims to the platform's table, many in one write.
+//! Writes claims to the store in batches.
 //!
-//! Routers send the claims of a key to one of a few agents, so that a hundred
-//! writes a second carry the whole fleet: each of these agents writes at most
-//! one batch in [`BATCH_EVERY`]. A batch whose answer was lost is settled row
-//! by row; what can't be settled is said to be so.
+//! Routers send the claims of a key to one of a few agents, each of which writes
+//! at most one batch per [`BATCH_INTERVAL`]. A batch whose response was lost is
+//! settled row by row; rows that cannot be settled are reported as unsettled.
 
 use std::time::Duration;
 
@@ -13,39 +12,39 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior};
 
-const PART: &str = "agent.claims";
-/// Time between two batches of one agent: 4 agents make 80 writes a second.
-const BATCH_EVERY: Duration = Duration::from_millis(50);
-/// Claims in one batch.
-const BATCH_MAX: usize = 500;
-/// Claims that wait; more are refused at once.
-const WAITING_MAX: usize = 2_000;
-/// How long an unanswered batch is settled.
-const SETTLE_FOR: Duration = Duration::from_secs(1);
-const SETTLE_PAUSE: Duration = Duration::from_millis(100);
+const LOG_TARGET: &str = "agent.claims";
+/// Minimum time between two batches; bounds the writes of the fleet.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of claims in one batch.
+const MAX_BATCH_CLAIMS: usize = 500;
+/// Maximum number of queued claims; more are rejected.
+const MAX_QUEUED_CLAIMS: usize = 2_000;
+/// How long a batch without a response is settled.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
+const SETTLE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A claim that waits for its batch.
-struct Waiting {
+/// A claim queued for the next batch.
+struct QueuedClaim {
     write: ClaimWrite,
     answer: oneshot::Sender<ClaimAnswer>,
 }
 
-/// Takes claims in.
+/// Queues claims for the batch writer.
 #[derive(Clone)]
-pub(crate) struct Claims(mpsc::Sender<Waiting>);
+pub(crate) struct ClaimBatcher(mpsc::Sender<QueuedClaim>);
 
-impl Claims {
-    /// Starts the writer. It ends when the last handle is gone.
+impl ClaimBatcher {
+    /// Starts the writer, which ends when the last handle is dropped.
     pub(crate) fn start<P: Platform + Clone>(platform: P, metrics: Metrics) -> Self {
-        let (tx, rx) = mpsc::channel(WAITING_MAX);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_CLAIMS);
         tokio::spawn(write_batches(platform, metrics, rx));
         Self(tx)
     }
 
-    /// Writes one claim with others.
+    /// Writes a claim in the next batch.
     pub(crate) async fn write(&self, write: ClaimWrite) -> ClaimAnswer {
         let (answer, answered) = oneshot::channel();
-        if self.0.try_send(Waiting { write, answer }).is_err() {
+        if self.0.try_send(QueuedClaim { write, answer }).is_err() {
             return ClaimAnswer::Unavailable;
         }
         answered.await.unwrap_or(ClaimAnswer::Unsettled)
@@ -55,17 +54,17 @@
 async fn write_batches<P: Platform + Clone>(
     platform: P,
     metrics: Metrics,
-    mut rx: mpsc::Receiver<Waiting>,
+    mut rx: mpsc::Receiver<QueuedClaim>,
 ) {
-    let mut ticks = tokio::time::interval(BATCH_EVERY);
+    let mut ticks = tokio::time::interval(BATCH_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut batch = Vec::new();
-    while rx.recv_many(&mut batch, BATCH_MAX).await > 0 {
+    while rx.recv_many(&mut batch, MAX_BATCH_CLAIMS).await > 0 {
         ticks.tick().await;
-        while batch.len() < BATCH_MAX
-            && let Ok(waiting) = rx.try_recv()
+        while batch.len() < MAX_BATCH_CLAIMS
+            && let Ok(queued) = rx.try_recv()
         {
-            batch.push(waiting);
+            batch.push(queued);
         }
         metrics.count("claim_batches_total", "", 1);
         metrics.count("claims_total", "", batch.len() as u64);
@@ -74,47 +73,47 @@
     }
 }
 
-async fn write_batch<P: Platform>(platform: P, batch: Vec<Waiting>) {
+async fn write_batch<P: Platform>(platform: P, batch: Vec<QueuedClaim>) {
     let writes: Vec<RowWrite> = batch
         .iter()
-        .map(|waiting| row_write(&waiting.write))
+        .map(|queued| row_write(&queued.write))
         .collect();
     match platform.write_batch(writes).await {
         Ok(answers) if answers.len() == batch.len() => {
-            for (waiting, answer) in batch.into_iter().zip(answers) {
-                let _router_gone = waiting.answer.send(claim_answer(answer));
+            for (queued, answer) in batch.into_iter().zip(answers) {
+                let _router_disconnected = queued.answer.send(claim_answer(answer));
             }
         }
         Ok(_) => settle_all(&platform, batch).await,
         Err(error) if error.may_have_taken_effect() => {
-            log::warn!(target: PART, "Batch of {} unanswered: {error}.", batch.len());
+            log::warn!(target: LOG_TARGET, "Unknown result of a batch of {}: {error}.", batch.len());
             settle_all(&platform, batch).await;
         }
         Err(error) => {
-            log::debug!(target: PART, "Batch of {} not written: {error}.", batch.len());
-            for waiting in batch {
-                let _router_gone = waiting.answer.send(ClaimAnswer::Unavailable);
+            log::debug!(target: LOG_TARGET, "Could not write a batch of {}: {error}.", batch.len());
+            for queued in batch {
+                let _router_disconnected = queued.answer.send(ClaimAnswer::Unavailable);
             }
         }
     }
 }
 
-async fn settle_all<P: Platform>(platform: &P, batch: Vec<Waiting>) {
-    let settling = batch.into_iter().map(|waiting| async move {
-        let answer = settle(platform, &waiting.write).await;
-        let _router_gone = waiting.answer.send(answer);
+async fn settle_all<P: Platform>(platform: &P, batch: Vec<QueuedClaim>) {
+    let settling = batch.into_iter().map(|queued| async move {
+        let answer = settle(platform, &queued.write).await;
+        let _router_disconnected = queued.answer.send(answer);
     });
     futures::future::join_all(settling).await;
 }
 
-/// Settles one write whose answer was lost. It is written again under the
-/// same condition: if the first write took effect, this one meets its row.
+/// Settles a write whose response was lost by repeating it under the same
+/// condition. If the first write took effect, the repeat conflicts with its row.
 async fn settle<P: Platform>(platform: &P, write: &ClaimWrite) -> ClaimAnswer {
-    let give_up_at = Instant::now() + SETTLE_FOR;
-    while Instant::now() < give_up_at {
-        let again = row_write(write);
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
+    while Instant::now() < deadline {
+        let retry = row_write(write);
         match platform
-            .write_row(&again.key, &again.value, again.expect)
+            .write_row(&retry.key, &retry.value, retry.expect)
             .await
         {
             Ok(version) => return ClaimAnswer::Written { version: version.0 },
@@ -126,21 +125,21 @@
             Err(PlatformError::Conflict(row)) => {
                 return claim_answer(BatchAnswer::Conflict(row));
             }
-            Err(error) => log::debug!(target: PART, "Not settled yet: {error}."),
+            Err(error) => log::debug!(target: LOG_TARGET, "Not settled yet: {error}."),
         }
         if let Ok(Some(row)) = platform.read_row(&write.key).await
-            && let Some(answer) = read_answer(write, row)
+            && let Some(answer) = settled_answer(write, row)
         {
             return answer;
         }
-        tokio::time::sleep(SETTLE_PAUSE).await;
+        tokio::time::sleep(SETTLE_RETRY_PAUSE).await;
     }
     ClaimAnswer::Unsettled
 }
 
-/// What a row that was read back says of an unanswered write: it took effect,
-/// or another row stands where it would have, or nothing yet.
-fn read_answer(write: &ClaimWrite, row: Row) -> Option<ClaimAnswer> {
+/// Derives the result of a write from the row that was read back. Returns `None`
+/// if the row is unchanged.
+fn settled_answer(write: &ClaimWrite, row: Row) -> Option<ClaimAnswer> {
     let version = row.version.0;
     if row.value == write.value {
         return Some(ClaimAnswer::Written { version });
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -1,7 +1,7 @@
-//! The exchange between agents: loads, versions, leaving endpoints.
+//! Gossip between agents: loads, configuration versions and leaving endpoints.
 //!
-//! One peer a round, picked at random: news reaches n hosts in about log2(n)
-//! rounds, whoever is away. Rounds are as frequent as the budget allows.
+//! Each round contacts one random peer, so that an update reaches n hosts in
+//! about log2(n) rounds even if some hosts are unavailable.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,30 +18,30 @@
 use tokio::sync::watch;
 
 use crate::slots::Slots;
-use crate::view::{AgentView, SawLeaving, TakeConfig, ViewKeeper};
+use crate::view::{AgentView, ApplyConfig, MarkLeaving, ViewActor};
 
-const PART: &str = "agent.exchange";
-/// Rounds of a small fleet, where a message is small.
-const SMALL_FLEET_EVERY: Duration = Duration::from_millis(250);
-/// Rounds of a large fleet.
-const LARGE_FLEET_EVERY: Duration = Duration::from_millis(3_000);
-/// Hosts up to which a fleet is small.
-const SMALL_FLEET_HOSTS: usize = 16;
-/// How long a round may take.
+const LOG_TARGET: &str = "agent.exchange";
+/// Interval of rounds in a small fleet, where messages are small.
+const SMALL_FLEET_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of rounds in a large fleet.
+const LARGE_FLEET_INTERVAL: Duration = Duration::from_millis(3_000);
+/// Peers from which a fleet counts as large.
+const MIN_LARGE_FLEET_PEERS: usize = 16;
+/// Timeout of a round.
 const ROUND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the exchange needs.
+/// Exchanges updates with random peers.
 pub(crate) struct Exchange {
     pub(crate) host: HostId,
     pub(crate) fleet_key_sha256: Arc<str>,
     pub(crate) slots: Arc<Slots>,
-    pub(crate) keeper: ActorRef<ViewKeeper>,
+    pub(crate) view_actor: ActorRef<ViewActor>,
     pub(crate) view: watch::Receiver<Arc<AgentView>>,
     pub(crate) traffic: Arc<Traffic>,
 }
 
-/// News for a peer, from a view and the slots.
-pub(crate) fn news_of(view: &AgentView, slots: &Slots) -> News {
+/// Builds the update for a peer.
+pub(crate) fn build_update(view: &AgentView, slots: &Slots) -> News {
     let endpoints = view.hosts.iter().flat_map(|hosts| &hosts.list.endpoints);
     let leaving = endpoints
         .filter(|e| e.state == HostState::Leaving)
@@ -56,32 +56,32 @@
     }
 }
 
-/// Takes a peer's news over, but for its configuration.
-pub(crate) async fn take_news(news: &News, slots: &Slots, keeper: &ActorRef<ViewKeeper>) {
-    slots.merge(&news.loads);
-    for leaving in &news.leaving {
-        let seen = SawLeaving {
+/// Applies a peer's update, except for its configuration.
+pub(crate) async fn apply_update(update: &News, slots: &Slots, view_actor: &ActorRef<ViewActor>) {
+    slots.merge_loads(&update.loads);
+    for leaving in &update.leaving {
+        let message = MarkLeaving {
             endpoint: leaving.endpoint.clone(),
             incarnation: leaving.incarnation,
         };
-        let _keeper_gone = keeper.tell(seen).await;
+        let _stopped = view_actor.tell(message).await;
     }
 }
 
 impl Exchange {
-    /// Exchanges until dropped.
+    /// Runs rounds until dropped.
     pub(crate) async fn run(self) {
         let mut clients: HashMap<SocketAddr, AgentApiClient> = HashMap::new();
         loop {
             let peers = self.peers();
-            let small = peers.len() < SMALL_FLEET_HOSTS;
-            let every = if small {
-                SMALL_FLEET_EVERY
+            let is_small = peers.len() < MIN_LARGE_FLEET_PEERS;
+            let period = if is_small {
+                SMALL_FLEET_INTERVAL
             } else {
-                LARGE_FLEET_EVERY
+                LARGE_FLEET_INTERVAL
             };
-            // Spread over the interval, so that hosts do not march in step.
-            let pause = every.mul_f64(rand::rng().random_range(0.75..1.25));
+            // Jitter avoids synchronised rounds.
+            let pause = period.mul_f64(rand::rng().random_range(0.75..1.25));
             tokio::time::sleep(pause).await;
             if peers.is_empty() {
                 continue;
@@ -89,7 +89,7 @@
             let peer = &peers[rand::rng().random_range(0..peers.len())];
             let round = self.round(peer, &mut clients);
             if tokio::time::timeout(ROUND_TIMEOUT, round).await.is_err() {
-                log::debug!(target: PART, "Host {} is slow.", peer.name);
+                log::debug!(target: LOG_TARGET, "Exchange with host {} timed out.", peer.name);
                 clients.remove(&peer.agent_address);
             }
         }
@@ -109,24 +109,24 @@
             return;
         };
         let view = self.view.borrow().clone();
-        let news = news_of(&view, &self.slots);
-        let answer = match client.exchange(context::current(), news).await {
+        let update = build_update(&view, &self.slots);
+        let answer = match client.exchange(context::current(), update).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
-                log::warn!(target: PART, "Host {} refused: {error}.", peer.name);
+                log::warn!(target: LOG_TARGET, "Host {} rejected the exchange: {error}.", peer.name);
                 return;
             }
             Err(error) => {
-                log::debug!(target: PART, "Host {} lost: {error}.", peer.name);
+                log::debug!(target: LOG_TARGET, "Lost connection to host {}: {error}.", peer.name);
                 clients.remove(&peer.agent_address);
                 return;
             }
         };
-        take_news(&answer, &self.slots, &self.keeper).await;
+        apply_update(&answer, &self.slots, &self.view_actor).await;
         if answer.config_version > view.config_version()
             && let Ok(Ok(Some(body))) = client.config_body(context::current()).await
         {
-            let _keeper_gone = self.keeper.tell(TakeConfig(body)).await;
+            let _stopped = self.view_actor.tell(ApplyConfig(body)).await;
         }
     }
 
@@ -151,7 +151,7 @@
                 Some(client)
             }
             Err(error) => {
-                log::debug!(target: PART, "{error}.");
+                log::debug!(target: LOG_TARGET, "{error}.");
                 None
             }
         }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! Keeps a host's view: configuration, membership, slots and claims.
+//! Maintains a host's view of the fleet, and serves slots and claims.
 //!
-//! One agent runs beside each router. It reads the platform, exchanges news
-//! with other agents, and answers routers. The router follows its view and
-//! serves on it while the agent is away.
+//! Each host runs an agent and a router. The agent polls the platform, exchanges
+//! updates with other agents and serves routers. A router keeps the last view
+//! while its agent is unavailable.
 //!
 //! # Example
 //!
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkrock-agent`: control work of one host.
+//! The `chalkrock-agent` program.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -1,4 +1,4 @@
-//! Answers routers and other agents over tarpc.
+//! Serves routers and other agents over tarpc.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,55 +17,55 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::claims::Claims;
-use crate::exchange::{news_of, take_news};
+use crate::claims::ClaimBatcher;
+use crate::exchange::{apply_update, build_update};
 use crate::slots::Slots;
-use crate::view::{AgentView, ViewKeeper};
+use crate::view::{AgentView, ViewActor};
 
-const PART: &str = "agent.peers";
-/// A watch without news is answered after this time, as a heartbeat.
+const LOG_TARGET: &str = "agent.peers";
+/// A watch without an update is answered after this time, as a heartbeat.
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_000);
-/// Calls of one connection that run at once.
-const CALLS_MAX: usize = 256;
+/// Maximum number of concurrent calls on one connection.
+const MAX_CONCURRENT_CALLS: usize = 256;
 
-/// What all connections share.
-pub(crate) struct Shared {
+/// State shared by all connections.
+pub(crate) struct PeerContext {
     pub(crate) fleet_key_sha256: Arc<str>,
     pub(crate) view: watch::Receiver<Arc<AgentView>>,
     pub(crate) metrics: Metrics,
     pub(crate) slots: Arc<Slots>,
-    pub(crate) claims: Claims,
-    pub(crate) keeper: ActorRef<ViewKeeper>,
+    pub(crate) claims: ClaimBatcher,
+    pub(crate) view_actor: ActorRef<ViewActor>,
     pub(crate) traffic: Arc<Traffic>,
 }
 
-/// One connection.
+/// A connection of a router or agent.
 #[derive(Clone)]
 struct Connection {
-    shared: Arc<Shared>,
+    shared: Arc<PeerContext>,
     peer: SocketAddr,
     hello: Arc<Mutex<Option<Hello>>>,
     count: Arc<ByteCount>,
 }
 
 /// Accepts connections until dropped.
-pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>) {
+pub(crate) async fn serve(listener: TcpListener, shared: Arc<PeerContext>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 tokio::spawn(serve_connection(stream, peer, shared.clone()));
             }
             Err(error) => {
-                log::warn!(target: PART, "Accept failed: {error}.");
+                log::warn!(target: LOG_TARGET, "Could not accept a connection: {error}.");
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
     }
 }
 
-async fn serve_connection(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>) {
+async fn serve_connection(stream: TcpStream, peer: SocketAddr, shared: Arc<PeerContext>) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(target: PART, "No nodelay for {peer}: {error}.");
+        log::debug!(target: LOG_TARGET, "Cannot set TCP_NODELAY for {peer}: {error}.");
     }
     let count = Arc::new(ByteCount::default());
     let connection = Connection {
@@ -80,11 +80,11 @@
         .requests()
         .map(|request| request.map(|r| r.execute(connection.clone().serve())));
     calls
-        .for_each_concurrent(CALLS_MAX, |call| async {
+        .for_each_concurrent(MAX_CONCURRENT_CALLS, |call| async {
             match call {
                 Ok(answering) => answering.await,
                 Err(error) => {
-                    log::warn!(target: PART, "Garbage from {peer}: {error}.");
+                    log::warn!(target: LOG_TARGET, "Invalid message from {peer}: {error}.");
                     metrics.count("peers_refused_total", "why=\"garbage\"", 1);
                 }
             }
@@ -93,14 +93,14 @@
 }
 
 impl Connection {
-    fn refuse(&self, why: PeerError, label: &str) -> PeerError {
-        log::warn!(target: PART, "Peer {} refused: {why}.", self.peer);
+    fn reject(&self, error: PeerError, label: &str) -> PeerError {
+        log::warn!(target: LOG_TARGET, "Rejected peer {}: {error}.", self.peer);
         let labels = format!("why=\"{label}\"");
         self.shared.metrics.count("peers_refused_total", &labels, 1);
-        why
+        error
     }
 
-    fn check(&self, purpose: Purpose) -> Result<Hello, PeerError> {
+    fn check_purpose(&self, purpose: Purpose) -> Result<Hello, PeerError> {
         let hello = self
             .hello
             .lock()
@@ -108,7 +108,7 @@
             .clone();
         match hello {
             Some(hello) if hello.purpose == purpose => Ok(hello),
-            _ => Err(self.refuse(PeerError::NoHello, "no-hello")),
+            _ => Err(self.reject(PeerError::NoHello, "no-hello")),
         }
     }
 }
@@ -116,13 +116,13 @@
 impl AgentApi for Connection {
     async fn hello(self, _: Context, hello: Hello) -> Result<(), PeerError> {
         if hello.protocol_version != PROTOCOL_VERSION {
-            return Err(self.refuse(PeerError::WrongVersion, "version"));
+            return Err(self.reject(PeerError::WrongVersion, "version"));
         }
         if hello.fleet_key_sha256 != self.shared.fleet_key_sha256 {
-            return Err(self.refuse(PeerError::WrongFleet, "fleet"));
+            return Err(self.reject(PeerError::WrongFleet, "fleet"));
         }
         if hello.purpose == Purpose::Slots {
-            self.shared.slots.holder_anew(&hello.host);
+            self.shared.slots.reset_holder(&hello.host);
         }
         self.shared
             .traffic
@@ -132,19 +132,19 @@
     }
 
     async fn watch_view(self, _: Context, known: KnownView) -> Result<ViewUpdate, PeerError> {
-        self.check(Purpose::View)?;
+        self.check_purpose(Purpose::View)?;
         let mut view = self.shared.view.clone();
         let newer = view.wait_for(|view| view.newer_than(known).is_some());
-        let news = match tokio::time::timeout(HEARTBEAT, newer).await {
+        let update = match tokio::time::timeout(HEARTBEAT, newer).await {
             Ok(Ok(view)) => view.newer_than(known),
             _ => None,
         };
-        Ok(news.unwrap_or_default())
+        Ok(update.unwrap_or_default())
     }
 
     async fn ask_slot(self, _: Context, ask: SlotAsk) -> Result<SlotAnswer, PeerError> {
-        let hello = self.check(Purpose::Slots)?;
-        let answer = self.shared.slots.ask(ask, &hello.host).await;
+        let hello = self.check_purpose(Purpose::Slots)?;
+        let answer = self.shared.slots.request_slot(ask, &hello.host).await;
         self.shared
             .metrics
             .count("slot_asks_total", slot_label(answer), 1);
@@ -152,31 +152,31 @@
     }
 
     async fn return_slots(self, _: Context, returns: Vec<SlotCount>) -> Result<(), PeerError> {
-        let hello = self.check(Purpose::Slots)?;
-        self.shared.slots.give_back(&returns, &hello.host);
+        let hello = self.check_purpose(Purpose::Slots)?;
+        self.shared.slots.return_slots(&returns, &hello.host);
         Ok(())
     }
 
     async fn adopt_slots(self, _: Context, held: Vec<SlotCount>) -> Result<(), PeerError> {
-        let hello = self.check(Purpose::Slots)?;
-        self.shared.slots.adopt(&held, &hello.host);
+        let hello = self.check_purpose(Purpose::Slots)?;
+        self.shared.slots.adopt_slots(&held, &hello.host);
         Ok(())
     }
 
-    async fn exchange(self, _: Context, news: News) -> Result<News, PeerError> {
-        self.check(Purpose::Exchange)?;
-        take_news(&news, &self.shared.slots, &self.shared.keeper).await;
+    async fn exchange(self, _: Context, update: News) -> Result<News, PeerError> {
+        self.check_purpose(Purpose::Exchange)?;
+        apply_update(&update, &self.shared.slots, &self.shared.view_actor).await;
         let view = self.shared.view.borrow().clone();
-        Ok(news_of(&view, &self.shared.slots))
+        Ok(build_update(&view, &self.shared.slots))
     }
 
     async fn write_claim(self, _: Context, write: ClaimWrite) -> Result<ClaimAnswer, PeerError> {
-        self.check(Purpose::Claims)?;
+        self.check_purpose(Purpose::Claims)?;
         Ok(self.shared.claims.write(write).await)
     }
 
     async fn config_body(self, _: Context) -> Result<Option<ConfigBody>, PeerError> {
-        self.check(Purpose::Exchange)?;
+        self.check_purpose(Purpose::Exchange)?;
         Ok(self.shared.view.borrow().config.clone())
     }
 }
--- a/crates/agent/src/platform_reads.rs
+++ b/crates/agent/src/platform_reads.rs
@@ -1,4 +1,4 @@
-//! Reads the platform at set intervals and tells the view's keeper.
+//! Polls the platform and updates the view.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,41 +11,41 @@
 use tokio::sync::watch;
 use tokio::time::MissedTickBehavior;
 
-use crate::view::{AgentView, TakeConfig, TakeHosts, ViewKeeper};
+use crate::view::{AgentView, ApplyConfig, ApplyHosts, ViewActor};
 
-const PART: &str = "agent.platform";
+const LOG_TARGET: &str = "agent.platform";
 
-/// What the loops share.
+/// Polls the configuration and the host list.
 #[derive(Clone)]
-pub(crate) struct Reads<P> {
+pub(crate) struct PlatformReader<P> {
     pub(crate) platform: P,
-    pub(crate) keeper: ActorRef<ViewKeeper>,
+    pub(crate) view_actor: ActorRef<ViewActor>,
     pub(crate) view: watch::Receiver<Arc<AgentView>>,
     pub(crate) metrics: Metrics,
 }
 
-impl<P: Platform + Clone> Reads<P> {
-    /// Follows the configuration, one read of the head row an interval.
-    pub(crate) async fn follow_config(self, every: Duration) {
+impl<P: Platform + Clone> PlatformReader<P> {
+    /// Polls the head row and reads newer configurations.
+    pub(crate) async fn follow_config(self, period: Duration) {
         let store = ConfigStore::new(self.platform.clone());
-        let mut ticks = ticks(every);
+        let mut ticks = ticks(period);
         loop {
             ticks.tick().await;
-            let in_force = self.view.borrow().config_version();
-            match read_newer(&store, in_force).await {
+            let current = self.view.borrow().config_version();
+            match read_newer(&store, current).await {
                 Ok(None) => self.count("config", "ok"),
                 Ok(Some(body)) => {
                     self.count("config", "ok");
-                    let _keeper_gone = self.keeper.tell(TakeConfig(body)).await;
+                    let _stopped = self.view_actor.tell(ApplyConfig(body)).await;
                 }
                 Err(error) => self.failed("config", &error),
             }
         }
     }
 
-    /// Follows the host list, one read an interval.
-    pub(crate) async fn follow_hosts(self, every: Duration) {
-        let mut ticks = ticks(every);
+    /// Polls the host list.
+    pub(crate) async fn follow_hosts(self, period: Duration) {
+        let mut ticks = ticks(period);
         let mut known: Option<TaggedHosts> = None;
         loop {
             ticks.tick().await;
@@ -54,10 +54,10 @@
                 Ok(read) => {
                     self.count("hosts", "ok");
                     known = read.or(known);
-                    // A list that stays counts too: what it does not show
-                    // departs after some lists.
+                    // An unchanged list counts too: a missing member departs
+                    // after several lists.
                     if let Some(known) = &known {
-                        let _keeper_gone = self.keeper.tell(TakeHosts(known.list.clone())).await;
+                        let _stopped = self.view_actor.tell(ApplyHosts(known.list.clone())).await;
                     }
                 }
                 Err(error) => self.failed("hosts", &error),
@@ -66,7 +66,7 @@
     }
 
     fn failed(&self, what: &str, error: &PlatformError) {
-        log::debug!(target: PART, "Read of {what} failed: {error}.");
+        log::debug!(target: LOG_TARGET, "Could not read {what}: {error}.");
         self.count(what, "failed");
     }
 
@@ -76,20 +76,20 @@
     }
 }
 
-fn ticks(every: Duration) -> tokio::time::Interval {
-    let mut ticks = tokio::time::interval(every);
+fn ticks(period: Duration) -> tokio::time::Interval {
+    let mut ticks = tokio::time::interval(period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
 }
 
 async fn read_newer<P: Platform>(
     store: &ConfigStore<P>,
-    in_force: ConfigVersion,
+    current: ConfigVersion,
 ) -> Result<Option<ConfigBody>, PlatformError> {
     let Some(head) = store.read_head().await? else {
         return Ok(None);
     };
-    if head.version <= in_force {
+    if head.version <= current {
         return Ok(None);
     }
     let json = store.read_body(&head).await?;
--- a/crates/agent/src/probes.rs
+++ b/crates/agent/src/probes.rs
@@ -1,5 +1,4 @@
-//! Probes the endpoints that this host owns: their load, and whether they
-//! leave. No other host probes them.
+//! Probes the load and leaving state of the endpoints that this host owns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +12,10 @@
 use tokio::time::MissedTickBehavior;
 
 use crate::slots::Slots;
-use crate::view::{AgentView, SawLeaving, ViewKeeper};
+use crate::view::{AgentView, MarkLeaving, ViewActor};
 
-const PART: &str = "agent.probes";
-/// A probe without an answer by then tells nothing.
+const LOG_TARGET: &str = "agent.probes";
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An endpoint's load report.
@@ -26,16 +25,16 @@
     leaving: bool,
 }
 
-/// What probing needs.
-pub(crate) struct Probes {
+/// Probes the endpoints that this host owns.
+pub(crate) struct Prober {
     pub(crate) slots: Arc<Slots>,
-    pub(crate) keeper: ActorRef<ViewKeeper>,
+    pub(crate) view_actor: ActorRef<ViewActor>,
     pub(crate) view: watch::Receiver<Arc<AgentView>>,
-    pub(crate) every: Duration,
+    pub(crate) period: Duration,
 }
 
-impl Probes {
-    /// Probes until dropped, and takes each new view over as it comes.
+impl Prober {
+    /// Probes and applies new views until dropped.
     pub(crate) async fn run(mut self) {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -44,11 +43,11 @@
         let client = match client {
             Ok(client) => client,
             Err(error) => {
-                log::error!(target: PART, "No client: {error}.");
+                log::error!(target: LOG_TARGET, "Cannot build the HTTP client: {error}.");
                 return;
             }
         };
-        let mut ticks = tokio::time::interval(self.every);
+        let mut ticks = tokio::time::interval(self.period);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut owned = Vec::new();
         loop {
@@ -58,7 +57,7 @@
                         return;
                     }
                     let view = self.view.borrow_and_update().clone();
-                    owned = self.slots.take_view(&view);
+                    owned = self.slots.apply_view(&view);
                 }
                 _ = ticks.tick() => self.probe_all(&client, &owned).await,
             }
@@ -74,25 +73,25 @@
     }
 
     async fn probe(&self, client: &reqwest::Client, endpoint: &Endpoint) {
-        let report = match fetch(client, endpoint).await {
+        let report = match fetch_load(client, endpoint).await {
             Ok(report) => report,
             Err(error) => {
-                log::debug!(target: PART, "Probe of {} failed: {error}.", endpoint.name);
+                log::debug!(target: LOG_TARGET, "Could not probe {}: {error}.", endpoint.name);
                 return;
             }
         };
-        self.slots.report(endpoint, report.in_progress);
+        self.slots.record_load(endpoint, report.in_progress);
         if report.leaving {
-            let seen = SawLeaving {
+            let message = MarkLeaving {
                 endpoint: endpoint.name.clone(),
                 incarnation: endpoint.incarnation,
             };
-            let _keeper_gone = self.keeper.tell(seen).await;
+            let _stopped = self.view_actor.tell(message).await;
         }
     }
 }
 
-async fn fetch(client: &reqwest::Client, endpoint: &Endpoint) -> reqwest::Result<LoadReport> {
+async fn fetch_load(client: &reqwest::Client, endpoint: &Endpoint) -> reqwest::Result<LoadReport> {
     let url = format!("http://{}/load", endpoint.address);
     client
         .get(url)
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -14,31 +14,31 @@
     pub host: HostId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where routers and other agents connect.
+    /// Address for routers and other agents.
     pub listen: SocketAddr,
-    /// Where health, readiness and metrics are served.
+    /// Address of the admin API: health, readiness and metrics.
     pub admin_listen: SocketAddr,
-    /// The platform's base URL.
+    /// Base URL of the platform.
     pub platform_url: String,
-    /// The secret that all hosts of the fleet share.
+    /// Secret shared by all hosts of the fleet.
     pub fleet_key: String,
-    /// Time between two reads of the configuration's head row.
+    /// Interval between reads of the configuration's head row, in milliseconds.
     #[serde(default = "default_config_poll_ms")]
     pub config_poll_ms: u64,
-    /// Time between two reads of the host list.
+    /// Interval between reads of the host list, in milliseconds.
     #[serde(default = "default_hosts_poll_ms")]
     pub hosts_poll_ms: u64,
-    /// Time between two probes of an endpoint that this host owns.
+    /// Interval between probes of an owned endpoint, in milliseconds.
     #[serde(default = "default_probe_ms")]
     pub probe_ms: u64,
-    /// A new owner grants no slots for this long: longer than the host list
-    /// may reach one host later than another.
+    /// How long a new owner grants no slots, in milliseconds. Must exceed the
+    /// skew with which host lists reach hosts.
     #[serde(default = "default_settle_ms")]
     pub settle_ms: u64,
-    /// Logs.
+    /// Settings of logs.
     #[serde(default)]
     pub logs: LogSettings,
-    /// Spans.
+    /// Settings of spans.
     #[serde(default)]
     pub spans: SpanSettings,
 }
--- a/crates/agent/src/slots.rs
+++ b/crates/agent/src/slots.rs
@@ -1,4 +1,4 @@
-//! The slots that this host grants: the core's owners, one for each pool.
+//! Grants slots of the engines that this host owns, with one owner per pool.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,19 +16,19 @@
 
 use crate::view::AgentView;
 
-/// Entries of one message of the exchange.
-const ENTRIES_MAX: usize = 16;
+/// Maximum number of load entries per pool in an exchange message.
+const MAX_ENTRIES: usize = 16;
 
-/// A host in load tables and ledgers: the low half of its name's hash.
+/// Low half of the hash of a host's name.
 type HostKey = u32;
-/// An engine: the hash of its name.
+/// Hash of an engine's name.
 type EngineKey = u64;
 
 fn short_hash(name: &str) -> u32 {
     MemberHash::of(name).short()
 }
 
-fn weights_of(config: &FleetConfig) -> Weights {
+fn organisation_weights(config: &FleetConfig) -> Weights {
     let weight = |organisation: &Organisation| {
         (
             OrganisationKey(short_hash(organisation.name.as_str())),
@@ -38,16 +38,16 @@
     Weights::new(config.organisations.iter().map(weight).collect())
 }
 
-fn holder_of(host: &HostId, organisation: u32) -> SlotHolder<HostKey> {
+fn slot_holder(host: &HostId, organisation: u32) -> SlotHolder<HostKey> {
     SlotHolder {
         host: short_hash(host.as_str()),
         organisation: OrganisationKey(organisation),
     }
 }
 
-/// The granting side of this host.
+/// The slots that this host grants.
 pub(crate) struct Slots {
-    own: HostId,
+    local: HostId,
     settle_ms: u64,
     started_at: Instant,
     state: Mutex<State>,
@@ -56,12 +56,12 @@
 #[derive(Default)]
 struct State {
     pools: HashMap<PoolId, PoolSlots>,
-    /// The pool of each live engine, and what wakes asks that are held.
+    /// Engines in the view.
     engines: HashMap<EngineKey, EngineEntry>,
 }
 
 struct PoolSlots {
-    short: u32,
+    hash: u32,
     load_multiple: f64,
     owner: Owner<HostKey, EngineKey>,
 }
@@ -75,9 +75,9 @@
 }
 
 impl Slots {
-    pub(crate) fn new(own: HostId, settle_ms: u64) -> Self {
+    pub(crate) fn new(local: HostId, settle_ms: u64) -> Self {
         Self {
-            own,
+            local,
             settle_ms,
             started_at: Instant::now(),
             state: Mutex::default(),
@@ -92,8 +92,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a new view over. Returns the endpoints that this host owns.
-    pub(crate) fn take_view(&self, view: &AgentView) -> Vec<Endpoint> {
+    /// Applies a new view. Returns the endpoints that this host owns.
+    pub(crate) fn apply_view(&self, view: &AgentView) -> Vec<Endpoint> {
         let Some(hosts) = &view.hosts else {
             return Vec::new();
         };
@@ -104,38 +104,38 @@
             .filter(|host| host.state == HostState::Live);
         let names: Vec<&str> = live_hosts.map(|host| host.name.as_str()).collect();
         let hashes: Vec<MemberHash> = names.iter().map(|name| MemberHash::of(name)).collect();
-        let own = names.iter().position(|name| *name == self.own.as_str());
-        let is_own = |endpoint: &&Endpoint| {
+        let local = names.iter().position(|name| *name == self.local.as_str());
+        let is_owned = |endpoint: &&Endpoint| {
             let owner = owner_index(MemberHash::of(endpoint.name.as_str()), &hashes);
-            owner.is_some() && owner == own
+            owner.is_some() && owner == local
         };
         let keys: Vec<HostKey> = names.iter().map(|name| short_hash(name)).collect();
         let endpoints = &hosts.list.endpoints;
-        let weights = weights_of(&view.parsed);
+        let weights = organisation_weights(&view.parsed);
         let mut state = self.state();
         for pool in &view.parsed.pools {
             if matches!(pool.kind, PoolKind::Engines { .. }) {
-                self.take_pool(&mut state, pool, &weights, endpoints, &keys, &is_own);
+                self.apply_pool(&mut state, pool, &weights, endpoints, &keys, &is_owned);
             }
         }
-        state.take_engines(endpoints);
-        endpoints.iter().filter(is_own).cloned().collect()
+        state.update_engines(endpoints);
+        endpoints.iter().filter(is_owned).cloned().collect()
     }
 
-    fn take_pool(
+    fn apply_pool(
         &self,
         state: &mut State,
         pool: &Pool,
         weights: &Weights,
         endpoints: &[Endpoint],
         hosts: &[HostKey],
-        is_own: &impl Fn(&&Endpoint) -> bool,
+        is_owned: &impl Fn(&&Endpoint) -> bool,
     ) {
         let now_ms = self.now_ms();
         let live = endpoints
             .iter()
             .filter(|e| e.pool == pool.name && e.state == HostState::Live);
-        let (owned, others): (Vec<_>, Vec<_>) = live.partition(is_own);
+        let (owned, others): (Vec<_>, Vec<_>) = live.partition(is_owned);
         let key = |endpoint: &Endpoint| MemberHash::of(endpoint.name.as_str()).0;
         let owned: Vec<_> = owned
             .into_iter()
@@ -149,9 +149,9 @@
             .pools
             .entry(pool.name.clone())
             .or_insert_with(|| PoolSlots {
-                short: short_hash(pool.name.as_str()),
+                hash: short_hash(pool.name.as_str()),
                 load_multiple: pool.load_multiple,
-                owner: Owner::new(short_hash(self.own.as_str()), self.rules(pool)),
+                owner: Owner::new(short_hash(self.local.as_str()), self.rules(pool)),
             });
         if entry.load_multiple != pool.load_multiple {
             entry.load_multiple = pool.load_multiple;
@@ -164,25 +164,25 @@
     fn rules(&self, pool: &Pool) -> SlotRules {
         SlotRules {
             settle_ms: self.settle_ms,
-            // An engine's weight is the number of its slots.
+            // An engine's weight is its number of slots.
             capacity: 1.0,
             ..SlotRules::for_load_multiple(pool.load_multiple)
         }
     }
 
-    /// Answers an ask; holds it for a while if the engine is at its bound.
-    pub(crate) async fn ask(&self, ask: SlotAsk, holder: &HostId) -> SlotAnswer {
-        let holder = holder_of(holder, ask.organisation);
-        let give_up_at = Instant::now() + Duration::from_millis(ask.wait_ms.into());
+    /// Requests a slot. Waits up to `wait_ms` if the engine is at its bound.
+    pub(crate) async fn request_slot(&self, ask: SlotAsk, holder: &HostId) -> SlotAnswer {
+        let holder = slot_holder(holder, ask.organisation);
+        let deadline = Instant::now() + Duration::from_millis(ask.wait_ms.into());
         loop {
-            let (answer, freed) = self.ask_now(ask, holder);
+            let (answer, freed) = self.try_request(ask, holder);
             let SlotAnswer::AtBound { .. } = answer else {
                 return answer;
             };
             let Some(freed) = freed else {
                 return answer;
             };
-            if tokio::time::timeout_at(give_up_at, freed.notified())
+            if tokio::time::timeout_at(deadline, freed.notified())
                 .await
                 .is_err()
             {
@@ -191,7 +191,7 @@
         }
     }
 
-    fn ask_now(
+    fn try_request(
         &self,
         ask: SlotAsk,
         holder: SlotHolder<HostKey>,
@@ -221,8 +221,8 @@
         (answer, Some(entry.freed))
     }
 
-    /// Takes slots back, and wakes asks that wait for them.
-    pub(crate) fn give_back(&self, returns: &[SlotCount], host: &HostId) {
+    /// Takes slots back and wakes waiting requests.
+    pub(crate) fn return_slots(&self, returns: &[SlotCount], host: &HostId) {
         let now_ms = self.now_ms();
         let mut state = self.state();
         for SlotCount {
@@ -231,8 +231,8 @@
             count,
         } in returns
         {
-            let holder = holder_of(host, *organisation);
-            let Some((owner, freed)) = state.owner_of(*engine) else {
+            let holder = slot_holder(host, *organisation);
+            let Some((owner, freed)) = state.owner(*engine) else {
                 continue;
             };
             owner.return_slots(engine, &holder, *count, now_ms);
@@ -240,9 +240,9 @@
         }
     }
 
-    /// A router opened its connection anew: what it held before is void, and
-    /// it tells next what it holds.
-    pub(crate) fn holder_anew(&self, holder: &HostId) {
+    /// Drops the slots of a router that reconnected, which then reports those that
+    /// it still holds.
+    pub(crate) fn reset_holder(&self, holder: &HostId) {
         let holder = short_hash(holder.as_str());
         let now_ms = self.now_ms();
         for pool in self.state().pools.values_mut() {
@@ -250,8 +250,8 @@
         }
     }
 
-    /// Takes over what a router holds.
-    pub(crate) fn adopt(&self, held: &[SlotCount], host: &HostId) {
+    /// Records slots that a router holds.
+    pub(crate) fn adopt_slots(&self, held: &[SlotCount], host: &HostId) {
         let now_ms = self.now_ms();
         let mut state = self.state();
         for SlotCount {
@@ -260,31 +260,31 @@
             count,
         } in held
         {
-            let holder = holder_of(host, *organisation);
-            if let Some((owner, _)) = state.owner_of(*engine) {
+            let holder = slot_holder(host, *organisation);
+            if let Some((owner, _)) = state.owner(*engine) {
                 owner.adopt(engine, holder, *count, now_ms);
             }
         }
     }
 
-    /// Takes an engine's report.
-    pub(crate) fn report(&self, engine: &Endpoint, in_progress: u32) {
+    /// Records an engine's reported load.
+    pub(crate) fn record_load(&self, engine: &Endpoint, in_progress: u32) {
         let key = MemberHash::of(engine.name.as_str()).0;
         let now_ms = self.now_ms();
-        if let Some((owner, _)) = self.state().owner_of(key) {
+        if let Some((owner, _)) = self.state().owner(key) {
             owner.report(&key, in_progress, now_ms);
         }
     }
 
-    /// The freshest totals of all pools, for a round of the exchange.
+    /// Returns the newest load entries of all pools, for an exchange.
     pub(crate) fn loads(&self) -> Vec<LoadBody> {
         let now_ms = self.now_ms();
         let mut state = self.state();
         let mut loads = Vec::new();
         for pool in state.pools.values_mut() {
-            let entries = pool.owner.load_table(now_ms).newest(now_ms, ENTRIES_MAX);
+            let entries = pool.owner.load_table(now_ms).newest(now_ms, MAX_ENTRIES);
             loads.extend(entries.into_iter().map(|entry| LoadBody {
-                pool: pool.short,
+                pool: pool.hash,
                 host: entry.host,
                 in_progress: entry.load.in_progress,
                 weight: entry.load.weight as u32,
@@ -294,12 +294,12 @@
         loads
     }
 
-    /// Merges totals that a peer sent.
-    pub(crate) fn merge(&self, loads: &[LoadBody]) {
+    /// Merges load entries from a peer.
+    pub(crate) fn merge_loads(&self, loads: &[LoadBody]) {
         let now_ms = self.now_ms();
         for pool in self.state().pools.values_mut() {
-            let of_pool = loads.iter().filter(|load| load.pool == pool.short);
-            let entries: Vec<_> = of_pool
+            let pool_loads = loads.iter().filter(|load| load.pool == pool.hash);
+            let entries: Vec<_> = pool_loads
                 .map(|load| LoadEntry {
                     host: load.host,
                     load: HostLoad {
@@ -313,7 +313,7 @@
         }
     }
 
-    /// The load of each engine that this host owns, for metrics.
+    /// Returns the load of each owned engine.
     pub(crate) fn engine_loads(&self) -> Vec<(EndpointId, u32)> {
         let state = self.state();
         let load = |(key, entry): (&EngineKey, &EngineEntry)| {
@@ -323,8 +323,8 @@
         state.engines.iter().filter_map(load).collect()
     }
 
-    /// Mean load by unit of weight of each pool, for metrics.
-    pub(crate) fn means(&self) -> Vec<(PoolId, f64)> {
+    /// Returns the mean load per unit of weight of each pool.
+    pub(crate) fn mean_loads(&self) -> Vec<(PoolId, f64)> {
         let now_ms = self.now_ms();
         let mut state = self.state();
         let means = state.pools.iter_mut();
@@ -335,13 +335,13 @@
 }
 
 impl State {
-    fn owner_of(&mut self, engine: EngineKey) -> Option<(&mut Owner<HostKey, EngineKey>, &Notify)> {
+    fn owner(&mut self, engine: EngineKey) -> Option<(&mut Owner<HostKey, EngineKey>, &Notify)> {
         let entry = self.engines.get(&engine)?;
         let pool = self.pools.get_mut(&entry.pool)?;
         Some((&mut pool.owner, &entry.freed))
     }
 
-    fn take_engines(&mut self, endpoints: &[Endpoint]) {
+    fn update_engines(&mut self, endpoints: &[Endpoint]) {
         let mut before = std::mem::take(&mut self.engines);
         for endpoint in endpoints
             .iter()
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts an agent's parts and ends them together.
+//! Starts an agent's tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 use tokio::task::JoinSet;
 
 use crate::admin;
-use crate::claims::Claims;
+use crate::claims::ClaimBatcher;
 use crate::exchange::Exchange;
-use crate::peers::{self, Shared};
-use crate::platform_reads::Reads;
-use crate::probes::Probes;
+use crate::peers::{self, PeerContext};
+use crate::platform_reads::PlatformReader;
+use crate::probes::Prober;
 use crate::settings::AgentSettings;
 use crate::slots::Slots;
-use crate::view::{AgentView, ViewKeeper};
+use crate::view::{AgentView, ViewActor};
 
-/// A running agent; its parts end when this is dropped.
+/// A running agent. Dropping it ends its tasks.
 pub struct RunningAgent {
     address: SocketAddr,
     admin_address: SocketAddr,
@@ -32,17 +32,17 @@
 }
 
 impl RunningAgent {
-    /// Where routers and other agents connect.
+    /// Returns the address for routers and other agents.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where health and metrics are.
+    /// Returns the address of the admin API.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address
     }
 
-    /// The view at this moment.
+    /// Returns the current view.
     pub fn view(&self) -> Arc<AgentView> {
         self.view.borrow().clone()
     }
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// If an address can't be bound, or the platform's address is no URL.
+/// If an address can't be bound or the platform's URL is invalid.
 pub async fn start_agent(settings: AgentSettings) -> eyre::Result<RunningAgent> {
     let platform = HttpPlatform::new(&settings.platform_url)?;
     let listener = TcpListener::bind(settings.listen).await?;
@@ -62,36 +62,36 @@
 
     let metrics = Metrics::default();
     let (published, view) = watch::channel(Arc::new(AgentView::default()));
-    let keeper = ViewKeeper::spawn(published);
+    let view_actor = ViewActor::spawn(published);
     let fleet_key_sha256: Arc<str> = key_digest(&settings.fleet_key).into();
     let slots = Arc::new(Slots::new(settings.host.clone(), settings.settle_ms));
     let traffic = Arc::new(Traffic::default());
-    let shared = Arc::new(Shared {
+    let shared = Arc::new(PeerContext {
         fleet_key_sha256: fleet_key_sha256.clone(),
         view: view.clone(),
         metrics: metrics.clone(),
         slots: slots.clone(),
-        claims: Claims::start(platform.clone(), metrics.clone()),
-        keeper: keeper.clone(),
+        claims: ClaimBatcher::start(platform.clone(), metrics.clone()),
+        view_actor: view_actor.clone(),
         traffic: traffic.clone(),
     });
-    let probes = Probes {
+    let probes = Prober {
         slots: slots.clone(),
-        keeper: keeper.clone(),
+        view_actor: view_actor.clone(),
         view: view.clone(),
-        every: Duration::from_millis(settings.probe_ms),
+        period: Duration::from_millis(settings.probe_ms),
     };
     let exchange = Exchange {
         host: settings.host.clone(),
         fleet_key_sha256,
         slots,
-        keeper: keeper.clone(),
+        view_actor: view_actor.clone(),
         view: view.clone(),
         traffic,
     };
-    let reads = Reads {
+    let reader = PlatformReader {
         platform,
-        keeper,
+        view_actor,
         view: view.clone(),
         metrics,
     };
@@ -100,15 +100,15 @@
     tasks.spawn(peers::serve(listener, shared.clone()));
     tasks.spawn(async move {
         if let Err(error) = axum::serve(admin_listener, admin::app(shared)).await {
-            log::error!(target: "agent.admin", "Server ended: {error}.");
+            log::error!(target: "agent.admin", "Admin server failed: {error}.");
         }
     });
     tasks.spawn(
-        reads
+        reader
             .clone()
             .follow_config(Duration::from_millis(settings.config_poll_ms)),
     );
-    tasks.spawn(reads.follow_hosts(Duration::from_millis(settings.hosts_poll_ms)));
+    tasks.spawn(reader.follow_hosts(Duration::from_millis(settings.hosts_poll_ms)));
     tasks.spawn(probes.run());
     tasks.spawn(exchange.run());
     log::info!(target: "agent", "Host {} listens on {address}.", settings.host);
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -1,4 +1,4 @@
-//! The view of one host, kept by an actor and watched by whoever serves it.
+//! The view of one host, updated by an actor.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -10,28 +10,28 @@
 use kameo::message::{Context, Message};
 use tokio::sync::watch;
 
-const PART: &str = "agent.view";
+const LOG_TARGET: &str = "agent.view";
 
-/// What an agent knows at one moment.
+/// A snapshot of the fleet as the agent knows it.
 #[derive(Clone, Debug, Default)]
 pub struct AgentView {
-    /// The configuration in force here.
+    /// The current configuration.
     pub config: Option<ConfigBody>,
-    /// The same, parsed.
+    /// The current configuration, parsed.
     pub parsed: Arc<FleetConfig>,
     /// Hosts and endpoints.
     pub hosts: Option<HostsBody>,
 }
 
 impl AgentView {
-    /// The version in force, 0 before the first.
+    /// Returns the current configuration version, or 0 without one.
     pub fn config_version(&self) -> ConfigVersion {
         self.config
             .as_ref()
             .map_or(ConfigVersion(0), |config| config.version)
     }
 
-    /// What is newer here than at a router, or `None`.
+    /// Returns the parts that are newer than those a router knows, if any.
     pub fn newer_than(&self, known: KnownView) -> Option<ViewUpdate> {
         let config = self
             .config
@@ -48,15 +48,15 @@
     }
 }
 
-/// Keeps the view. All changes go through this actor, one at a time, so that
-/// a version can't be overtaken by an older one that arrives later.
-pub(crate) struct ViewKeeper {
+/// Updates the view. The actor serialises changes, so that an older version
+/// cannot replace a newer one.
+pub(crate) struct ViewActor {
     members: Membership,
     hosts_number: u64,
     published: watch::Sender<Arc<AgentView>>,
 }
 
-impl Actor for ViewKeeper {
+impl Actor for ViewActor {
     type Args = watch::Sender<Arc<AgentView>>;
     type Error = Infallible;
 
@@ -69,25 +69,25 @@
     }
 }
 
-/// A configuration that was read or offered.
-pub(crate) struct TakeConfig(pub(crate) ConfigBody);
+/// Applies a configuration from the platform or a peer.
+pub(crate) struct ApplyConfig(pub(crate) ConfigBody);
 
-impl Message<TakeConfig> for ViewKeeper {
+impl Message<ApplyConfig> for ViewActor {
     type Reply = ();
 
-    async fn handle(&mut self, TakeConfig(body): TakeConfig, _: &mut Context<Self, ()>) {
-        let in_force = self.published.borrow().config_version();
-        if body.version <= in_force {
+    async fn handle(&mut self, ApplyConfig(body): ApplyConfig, _: &mut Context<Self, ()>) {
+        let current = self.published.borrow().config_version();
+        if body.version <= current {
             return;
         }
         let parsed = match serde_json::from_str::<FleetConfig>(&body.json) {
             Ok(parsed) => Arc::new(parsed),
             Err(error) => {
-                log::error!(target: PART, "Configuration {} can't be read: {error}.", body.version);
+                log::error!(target: LOG_TARGET, "Invalid configuration {}: {error}.", body.version);
                 return;
             }
         };
-        log::info!(target: PART, "Configuration {} in force.", body.version);
+        log::info!(target: LOG_TARGET, "Applied configuration {}.", body.version);
         self.published.send_modify(|view| {
             let hosts = view.hosts.clone();
             *view = Arc::new(AgentView {
@@ -99,13 +99,13 @@
     }
 }
 
-/// A host list that was read.
-pub(crate) struct TakeHosts(pub(crate) HostList);
+/// Applies a host list from the platform.
+pub(crate) struct ApplyHosts(pub(crate) HostList);
 
-impl Message<TakeHosts> for ViewKeeper {
+impl Message<ApplyHosts> for ViewActor {
     type Reply = ();
 
-    async fn handle(&mut self, TakeHosts(list): TakeHosts, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, ApplyHosts(list): ApplyHosts, _: &mut Context<Self, ()>) {
         let first = self.published.borrow().hosts.is_none();
         if self.members.merge(&list) || first {
             self.publish_hosts();
@@ -113,24 +113,24 @@
     }
 }
 
-/// An endpoint that was seen to leave.
-pub(crate) struct SawLeaving {
+/// Marks an endpoint as leaving.
+pub(crate) struct MarkLeaving {
     pub(crate) endpoint: EndpointId,
     pub(crate) incarnation: Incarnation,
 }
 
-impl Message<SawLeaving> for ViewKeeper {
+impl Message<MarkLeaving> for ViewActor {
     type Reply = ();
 
-    async fn handle(&mut self, seen: SawLeaving, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, seen: MarkLeaving, _: &mut Context<Self, ()>) {
         if self.members.mark_leaving(&seen.endpoint, seen.incarnation) {
-            log::info!(target: PART, "Endpoint {} leaves.", seen.endpoint);
+            log::info!(target: LOG_TARGET, "Endpoint {} is leaving.", seen.endpoint);
             self.publish_hosts();
         }
     }
 }
 
-impl ViewKeeper {
+impl ViewActor {
     fn publish_hosts(&mut self) {
         self.hosts_number += 1;
         let hosts = HostsBody {
