--- a/crates/router/src/chat/answer.rs
+++ b/crates/router/src/chat/answer.rs
@@ -9,7 +9,7 @@
 use reqwest::Method;
 use tokio::time::Instant;
 
-use super::send::{Chat, Dispatched};
+use super::send::{Dispatched, OutgoingChat};
 use crate::claims::Claim;
 use crate::dispatch::{Attempt, send};
 use crate::entry::Admitted;
@@ -59,7 +59,7 @@
     explanation: &mut Explanation,
     admitted: &Admitted,
     pool: &Pool,
-    sent: &Chat,
+    outgoing: &OutgoingChat,
     dispatched: Dispatched,
     stream: bool,
 ) -> Result<ChatResponse, Refusal> {
@@ -76,13 +76,13 @@
             endpoint: endpoint.name.clone(),
             base: 0,
         });
-        let failover = sent.repeat_safe.then(|| Failover {
+        let failover = outgoing.repeat_safe.then(|| Failover {
             pool: pool.clone(),
             chat: ChatPlacement {
                 hint: None,
-                ..sent.place.clone()
+                ..outgoing.place.clone()
             },
-            body: sent.body.clone(),
+            body: outgoing.body.clone(),
             text: String::new(),
             failed_engines: Vec::new(),
         });
@@ -106,7 +106,7 @@
     let lost = |_| {
         Refusal::new(
             Reason::EndpointLost,
-            format!("{} stopped answering", endpoint.name),
+            format!("{} disconnected", endpoint.name),
         )
     };
     let body = response.bytes().await.map_err(lost)?;
@@ -146,13 +146,13 @@
         .endpoints
         .iter()
         .find(|e| e.name == place.endpoint);
-    let endpoint = listed
-        .cloned()
-        .ok_or_else(|| Refusal::new(Reason::EndpointLost, format!("{} is gone", place.endpoint)))?;
+    let endpoint = listed.cloned().ok_or_else(|| {
+        Refusal::new(Reason::EndpointLost, format!("{} has left", place.endpoint))
+    })?;
     let first_number = number
         .checked_add(1)
         .ok_or_else(|| refused("the event number is too high"))?;
-    // The engine knows the stream by its first request id.
+    // The engine identifies the stream by the original request id.
     explanation.request = place.request.clone();
     explanation.chosen = Some(endpoint.name.clone());
     let offset = first_number
@@ -168,7 +168,12 @@
         body: Bytes::new(),
     };
     // The request has run, so no failure here counts as not run.
-    let gone = |_| Refusal::new(Reason::EndpointLost, format!("{} is gone", endpoint.name));
+    let gone = |_| {
+        Refusal::new(
+            Reason::EndpointLost,
+            format!("cannot reach {}", endpoint.name),
+        )
+    };
     let response = send(state, attempt).await.map_err(gone)?;
     if !response.status().is_success() {
         let detail = format!("{} no longer has the stream", endpoint.name);
--- a/crates/router/src/chat/mod.rs
+++ b/crates/router/src/chat/mod.rs
@@ -24,7 +24,7 @@
 mod send;
 
 use answer::{ChatResponse, build_response, resume, settle_claim};
-use send::{Chat, dispatch};
+use send::{OutgoingChat, dispatch};
 
 /// Header of the affinity hint, in requests and responses.
 const AFFINITY_HEADER: &str = "chalkrock-affinity";
@@ -122,19 +122,19 @@
     )
     .await?;
     let repeat_safe = claim.is_none() && !is_marked_unsafe(headers);
-    let sent = Chat {
+    let outgoing = OutgoingChat {
         place,
         body,
         repeat_safe,
     };
-    let served = match dispatch(state, explanation, &admitted, pool, &sent).await {
+    let served = match dispatch(state, explanation, &admitted, pool, &outgoing).await {
         Ok(dispatched) => {
             build_response(
                 state,
                 explanation,
                 &admitted,
                 pool,
-                &sent,
+                &outgoing,
                 dispatched,
                 chat.stream,
             )
--- a/crates/router/src/chat/send.rs
+++ b/crates/router/src/chat/send.rs
@@ -17,7 +17,7 @@
 const MAX_ATTEMPTS: usize = 3;
 
 /// A chat request to dispatch.
-pub(super) struct Chat {
+pub(super) struct OutgoingChat {
     pub(super) place: ChatPlacement,
     pub(super) body: Bytes,
     /// Whether it may be retried after an unknown outcome.
@@ -37,7 +37,7 @@
     explanation: &mut Explanation,
     admitted: &Admitted,
     pool: &Pool,
-    chat: &Chat,
+    chat: &OutgoingChat,
 ) -> Result<Dispatched, Refusal> {
     let mut engines = admitted.view.live_in(&pool.name).to_vec();
     let mut refusal = Refusal::new(
@@ -51,7 +51,7 @@
         let PlacedRequest { engine, in_flight } =
             place(state, explanation, pool, &chat.place, &engines).await?;
         let start = Instant::now();
-        let one = Attempt {
+        let outgoing = Attempt {
             request: &explanation.request,
             endpoint: &engine.endpoint,
             method: Method::POST,
@@ -59,7 +59,7 @@
             headers: json_headers(),
             body: chat.body.clone(),
         };
-        let sent = send(state, one).await;
+        let sent = send(state, outgoing).await;
         explanation.record_hop("dispatch", start);
         match sent {
             Ok(response) => {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -52,7 +52,7 @@
                 format!("cannot connect to {name}"),
             );
         }
-        Refusal::new(Reason::EndpointLost, format!("{name} stopped answering"))
+        Refusal::new(Reason::EndpointLost, format!("{name} disconnected"))
     })?;
     let refused = response.status() == StatusCode::SERVICE_UNAVAILABLE
         && response.headers().contains_key(NOT_STARTED_HEADER);
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -379,15 +379,15 @@
 }
 
 /// Builds a request that continues the response after `text`. Returns `None` if
-/// the body has no list of messages.
+/// the body cannot be extended.
 fn continuation_body(body: &Bytes, text: &str, events: u64) -> Option<Bytes> {
     let mut body: Value = serde_json::from_slice(body).ok()?;
     if let Some(max_tokens) = body.get("max_tokens").and_then(Value::as_u64) {
         body["max_tokens"] = json!(max_tokens.saturating_sub(events));
     }
     if !text.is_empty() {
-        let started = json!({"role": "assistant", "content": text});
-        body.get_mut("messages")?.as_array_mut()?.push(started);
+        let partial = json!({"role": "assistant", "content": text});
+        body.get_mut("messages")?.as_array_mut()?.push(partial);
         body["continue_final_message"] = json!(true);
         body["add_generation_prompt"] = json!(false);
     }
--- a/crates/router/src/service_calls.rs
+++ b/crates/router/src/service_calls.rs
@@ -157,7 +157,7 @@
             CandidateRole::Retry
         };
         let start = Instant::now();
-        let one = Attempt {
+        let outgoing = Attempt {
             request: &explanation.request,
             endpoint: &chosen.endpoint,
             method: call.method.clone(),
@@ -165,7 +165,7 @@
             headers: forwarded_headers(call.headers),
             body: call.body.clone(),
         };
-        let sent = send(state, one).await;
+        let sent = send(state, outgoing).await;
         explanation.record_hop("dispatch", start);
         let answer = sent
             .as_ref()
