--- a/crates/router/src/chat/answer.rs
+++ b/crates/router/src/chat/answer.rs
@@ -168,12 +168,7 @@
         body: Bytes::new(),
     };
     // The request has run, so no failure here counts as not run.
-    let gone = |_| {
-        Refusal::new(
-            Reason::EndpointLost,
-            format!("cannot reach {}", endpoint.name),
-        )
-    };
+    let gone = |_| Refusal::new(Reason::EndpointLost, format!("{} was lost", endpoint.name));
     let response = send(state, attempt).await.map_err(gone)?;
     if !response.status().is_success() {
         let detail = format!("{} no longer has the stream", endpoint.name);
--- a/crates/router/src/place.rs
+++ b/crates/router/src/place.rs
@@ -182,8 +182,7 @@
         }
     }
 
-    /// Selects an engine by this router's requests, as no owner answers. Balance
-    /// on each router balances the total.
+    /// Balances this router's requests over the engines, as no owner answers.
     fn place_locally(&mut self, pool: &Pool) -> Result<PlacedRequest, Refusal> {
         let busy = self.state.owners.in_progress_on(self.engines);
         let chosen = choose_locally(
