--- a/crates/core/src/load_table.rs
+++ b/crates/core/src/load_table.rs
@@ -1,8 +1,8 @@
 //! The load totals that hosts exchange to estimate a pool's mean load.
 //!
-//! An owner derives its limit from the mean alone, so an entry is a host's total
-//! for a pool rather than a value per engine. Each exchange sends the newest
-//! entries to one peer; the mean changes slowly enough for this.
+//! Of other hosts' loads an owner needs only the mean, so an entry is a host's
+//! total for one pool. Each exchange sends the newest entries to one peer, so
+//! entries may be seconds old; [`LoadSampler`] covers a steep rise.
 
 use std::collections::{BTreeMap, HashSet};
 use std::hash::Hash;
@@ -12,7 +12,7 @@
 pub struct HostLoad {
     /// Requests in progress on the engines that the host owns.
     pub in_progress: u32,
-    /// Total weight of these engines.
+    /// Total weight of those engines.
     pub weight: f64,
 }
 
@@ -23,21 +23,21 @@
     pub host: H,
     /// Its total load.
     pub load: HostLoad,
-    /// Time since the host reported the load.
+    /// Time since the host computed the load.
     pub age_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct StoredLoad {
     load: HostLoad,
-    reported_at_ms: u64,
+    measured_at_ms: u64,
 }
 
-/// A moving mean of the engine loads in owners' responses.
+/// An exponentially weighted mean of recent load samples.
 ///
-/// Routers send it with slot requests, so that owners raise their limits before
-/// the load table shows a steep rise. Only engines picked by the chat's hash
-/// may be sampled: homes are busier than average and would bias the mean.
+/// Routers send their mean with slot requests, so that owners raise their limits
+/// before the load table shows a steep rise. Record only engines chosen by the
+/// chat's hash: those chosen because they hold the chat are busier than average.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadSampler {
     mean: f64,
@@ -45,25 +45,25 @@
 }
 
 impl LoadSampler {
-    /// Samples below which there is no mean.
+    /// Samples needed for a mean.
     const MIN_SAMPLES: u32 = 16;
-    /// Weight of a new sample.
-    const SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
+    /// Smallest weight of a new sample.
+    const MIN_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
 
-    /// Records an engine's load per unit of weight.
-    pub fn record(&mut self, load: f64) {
-        let sample_weight = Self::SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples + 1));
-        self.mean += sample_weight * (load - self.mean);
+    /// Records a load per unit of engine weight.
+    pub fn record(&mut self, load_per_weight: f64) {
+        let sample_weight = Self::MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples + 1));
+        self.mean += sample_weight * (load_per_weight - self.mean);
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Returns the mean load per unit of weight, once there are enough samples.
+    /// Returns the mean load per unit of engine weight, once there are enough samples.
     pub fn mean(&self) -> Option<f64> {
         (self.samples >= Self::MIN_SAMPLES).then_some(self.mean)
     }
 }
 
-/// The load totals of all hosts, as known to one host.
+/// The hosts' load totals for one pool, as known to one host.
 ///
 /// # Example
 ///
@@ -77,22 +77,22 @@
 #[derive(Clone, Debug)]
 pub struct LoadTable<H> {
     local_host: H,
-    hosts: HashSet<H>,
-    /// Ordered, so that the floating-point sum of the mean is deterministic.
+    hosts_in_view: HashSet<H>,
+    /// Ordered, so that the same entries always have the same mean.
     entries: BTreeMap<H, StoredLoad>,
 }
 
-/// Older entries do not count: another host owns the engines by then.
+/// Older entries do not count: by then another host usually owns the engines.
 const MAX_ENTRY_AGE_MS: u64 = 15_000;
-/// Fraction of its load by which an entry of the maximum age is discounted.
-const MAX_AGE_DISCOUNT: f64 = 0.05;
+/// Fraction by which the load of an entry of the maximum age is discounted.
+const DISCOUNT_AT_MAX_AGE: f64 = 0.05;
 
 impl<H: Clone + Eq + Hash + Ord> LoadTable<H> {
-    /// Creates a table without entries.
+    /// Creates an empty table, which accepts no peer's entries before `set_hosts`.
     pub fn new(local_host: H) -> Self {
         Self {
             local_host,
-            hosts: HashSet::new(),
+            hosts_in_view: HashSet::new(),
             entries: BTreeMap::new(),
         }
     }
@@ -103,12 +103,12 @@
             self.local_host.clone(),
             StoredLoad {
                 load,
-                reported_at_ms: now_ms,
+                measured_at_ms: now_ms,
             },
         );
     }
 
-    /// Returns the newest entries, at most `max_entries`, the local host's first.
+    /// Returns the newest unexpired entries, at most `max_entries`, the local host's first.
     pub fn newest(&self, now_ms: u64, max_entries: usize) -> Vec<LoadEntry<H>> {
         let mut entries: Vec<_> = self
             .entries
@@ -116,7 +116,7 @@
             .map(|(host, stored)| LoadEntry {
                 host: host.clone(),
                 load: stored.load,
-                age_ms: now_ms.saturating_sub(stored.reported_at_ms),
+                age_ms: now_ms.saturating_sub(stored.measured_at_ms),
             })
             .filter(|entry| entry.age_ms <= MAX_ENTRY_AGE_MS)
             .collect();
@@ -129,54 +129,55 @@
         entries
     }
 
-    /// Merges a peer's entries, keeping the newest of each host and ignoring
-    /// hosts that are not in the view.
+    /// Merges a peer's entries and keeps the newest of each host. Ignores the local
+    /// host and hosts that are not in the view.
     pub fn merge(&mut self, entries: &[LoadEntry<H>], now_ms: u64) {
         for entry in entries {
-            if entry.host == self.local_host || !self.hosts.contains(&entry.host) {
+            if entry.host == self.local_host || !self.hosts_in_view.contains(&entry.host) {
                 continue;
             }
-            let reported_at_ms = now_ms.saturating_sub(entry.age_ms);
+            let measured_at_ms = now_ms.saturating_sub(entry.age_ms);
             let is_newer = self
                 .entries
                 .get(&entry.host)
-                .is_none_or(|stored| stored.reported_at_ms < reported_at_ms);
+                .is_none_or(|stored| stored.measured_at_ms < measured_at_ms);
             if is_newer {
                 self.entries.insert(
                     entry.host.clone(),
                     StoredLoad {
                         load: entry.load,
-                        reported_at_ms,
+                        measured_at_ms,
                     },
                 );
             }
         }
     }
 
-    /// Sets the hosts of the view and removes the entries of all others, whose
-    /// engines now count for their new owners.
-    pub fn retain_hosts(&mut self, hosts: &[H]) {
-        self.hosts = hosts.iter().cloned().collect();
+    /// Sets the hosts whose entries are accepted and removes the entries of others,
+    /// whose engines now count for their new owners.
+    pub fn set_hosts(&mut self, hosts: &[H]) {
+        self.hosts_in_view = hosts.iter().cloned().collect();
         let Self {
             local_host,
-            hosts,
+            hosts_in_view,
             entries,
         } = self;
-        entries.retain(|host, _| host == local_host || hosts.contains(host));
+        entries.retain(|host, _| host == local_host || hosts_in_view.contains(host));
     }
 
-    /// The mean load per unit of weight over the known hosts.
+    /// Returns the mean load per unit of weight of unexpired entries; 0 without any.
     ///
-    /// Old loads are discounted, since the engines of a crashed host drain while
-    /// its last entry remains. The discount is small: a larger one would lower
-    /// the limits below current loads, and the rejections lower the mean further.
+    /// Old loads are discounted, since the engines of a crashed host drain while its
+    /// last entry remains. The discount is small: a lower mean lowers the limits, and
+    /// the rejections that follow lower the mean further.
     pub fn mean(&self, now_ms: u64) -> f64 {
         let (mut in_progress, mut weight) = (0.0, 0.0);
         for stored in self.entries.values() {
-            let age_ms = now_ms.saturating_sub(stored.reported_at_ms);
+            let age_ms = now_ms.saturating_sub(stored.measured_at_ms);
             if age_ms <= MAX_ENTRY_AGE_MS {
-                let factor = 1.0 - MAX_AGE_DISCOUNT * age_ms as f64 / MAX_ENTRY_AGE_MS as f64;
-                in_progress += factor * f64::from(stored.load.in_progress);
+                let age_factor =
+                    1.0 - DISCOUNT_AT_MAX_AGE * age_ms as f64 / MAX_ENTRY_AGE_MS as f64;
+                in_progress += age_factor * f64::from(stored.load.in_progress);
                 weight += stored.load.weight;
             }
         }
--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -174,7 +174,7 @@
     /// Applies the hosts of a view and returns those of the previous one.
     fn apply_hosts(&mut self, hosts: &[H], now_ms: u64) -> Vec<H> {
         let previous = std::mem::replace(&mut self.hosts, hosts.to_vec());
-        self.table.retain_hosts(hosts);
+        self.table.set_hosts(hosts);
         // Hosts of the previous view were visible until now.
         for host in previous.iter().chain(hosts) {
             self.host_seen_at_ms.insert(host.clone(), now_ms);
--- a/crates/core/tests/load_table.rs
+++ b/crates/core/tests/load_table.rs
@@ -20,7 +20,7 @@
 
 fn table_of(hosts: &[u8]) -> LoadTable<u8> {
     let mut table = LoadTable::new(0);
-    table.retain_hosts(hosts);
+    table.set_hosts(hosts);
     table
 }
 
--- a/crates/gateway/src/active_rules.rs
+++ b/crates/gateway/src/active_rules.rs
@@ -1,4 +1,4 @@
-//! The active rules and their recent changes.
+//! The routing rules that this host applies, and the latest changes of them.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,7 +6,7 @@
 use chalkrock_routing::{Rules, RulesChange, RulesDocument, RulesHistory, RulesVersion};
 use serde::{Deserialize, Serialize};
 
-/// Rules that one host sends to another.
+/// An update of the rules, as one host sends it to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum RulesUpdate {
     Entire(Arc<RulesDocument>),
@@ -15,8 +15,8 @@
 }
 
 impl RulesUpdate {
-    /// Number of routes and organisations in the update.
-    pub(crate) fn entries(&self) -> usize {
+    /// Number of routes and organisations that the update names.
+    pub(crate) fn entry_count(&self) -> usize {
         match self {
             Self::Entire(document) => document.entry_count(),
             Self::Changes(changes) => changes.iter().map(|change| change.entry_count()).sum(),
@@ -24,11 +24,11 @@
     }
 }
 
-/// The active rules; their version never decreases.
+/// The rules that this host applies; their version never decreases.
 #[derive(Default)]
 pub(crate) struct ActiveRules {
     current: ArcSwapOption<Rules>,
-    /// Locked while rules are activated, so that no change is lost.
+    /// Locked during activation, so that an older version can't replace a newer one.
     history: Mutex<RulesHistory>,
 }
 
@@ -37,14 +37,14 @@
         self.current.load_full()
     }
 
-    /// The active version; the default if no rules are known.
+    /// Returns the active version; version 0 without rules.
     pub(crate) fn version(&self) -> RulesVersion {
         let current = self.current();
         current.map(|rules| rules.version()).unwrap_or_default()
     }
 
-    /// Activates a document if it is newer. Returns whether it is.
-    pub(crate) fn replace(&self, mut document: RulesDocument) -> bool {
+    /// Activates a document if it is newer. Returns whether it was activated.
+    pub(crate) fn activate(&self, mut document: RulesDocument) -> bool {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let current = self.current();
         if current
@@ -64,11 +64,11 @@
         true
     }
 
-    /// Activates an update from a peer if it is newer and its changes apply to the active
+    /// Activates a peer's update if it is newer and its changes, if any, follow the active
     /// version. Returns whether it was activated.
     pub(crate) fn apply_update(&self, update: RulesUpdate) -> bool {
         let changes = match update {
-            RulesUpdate::Entire(document) => return self.replace(Arc::unwrap_or_clone(document)),
+            RulesUpdate::Entire(document) => return self.activate(Arc::unwrap_or_clone(document)),
             RulesUpdate::Changes(changes) => changes,
         };
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
@@ -78,7 +78,7 @@
         let mut document = RulesDocument::clone(current.document());
         for change in &changes {
             match change.apply(&document) {
-                Some(changed) => document = changed,
+                Some(newer) => document = newer,
                 None => return false,
             }
         }
@@ -92,8 +92,8 @@
         true
     }
 
-    /// The update that a host at a version needs, if any: the changes since, or the full
-    /// document if they are not retained.
+    /// Returns the update for a host that has `version`: the changes since then, or the whole
+    /// document if some are no longer kept; `None` if the active version is not newer.
     pub(crate) fn update_since(&self, version: RulesVersion) -> Option<RulesUpdate> {
         let current = self.current().filter(|rules| rules.version() > version)?;
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -13,61 +13,63 @@
 use crate::byte_budget::HeldBytes;
 use crate::edge::{Edge, Refusal};
 
-/// Aborts a response: the caller's connection closes before the end of the body, so
-/// that a partial body does not look complete.
+/// The error of a response body that ends early. The HTTP server then closes the
+/// connection, so that a partial body does not look complete.
 #[derive(Debug, thiserror::Error)]
 #[error("the response was aborted")]
-pub(crate) struct AnswerAborted;
+pub(crate) struct ResponseAborted;
 
-/// Events of a stream for the caller.
-pub(crate) type Events = Pin<Box<dyn Stream<Item = Result<Bytes, AnswerAborted>> + Send>>;
+pub(crate) type EventStream = Pin<Box<dyn Stream<Item = Result<Bytes, ResponseAborted>> + Send>>;
 
-/// Largest chunk passed to a connection at once. A connection buffers that much for a
-/// slow caller; the remainder counts against the response byte budget.
-pub(crate) const CHUNK_BYTES: usize = 16 * 1024;
+/// Largest chunk of a buffered body that is passed to a connection at once. A connection
+/// buffers that much for a slow caller; the remainder counts against the byte budget.
+pub(crate) const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A complete body and its reservation in the byte budget, held until it is sent.
+/// The unsent part of a complete body, and the reservation of the body in the byte budget.
 #[derive(Debug, Default)]
 pub(crate) struct BufferedResponseBody {
-    pub(crate) bytes: Bytes,
-    pub(crate) held: Option<HeldBytes>,
+    pub(crate) remaining: Bytes,
+    pub(crate) reservation: Option<HeldBytes>,
 }
 
 impl BufferedResponseBody {
     /// A body made by the gateway itself, without a reservation.
-    pub(crate) fn unreserved(bytes: Bytes) -> Self {
-        Self { bytes, held: None }
+    pub(crate) fn unreserved(remaining: Bytes) -> Self {
+        Self {
+            remaining,
+            reservation: None,
+        }
     }
 
     fn next_chunk(&mut self) -> Option<Bytes> {
-        if self.bytes.is_empty() {
-            self.held = None;
+        if self.remaining.is_empty() {
+            self.reservation = None;
             return None;
         }
-        let chunk_bytes = self.bytes.len().min(CHUNK_BYTES);
-        Some(self.bytes.split_to(chunk_bytes))
+        let chunk_bytes = self.remaining.len().min(MAX_CHUNK_BYTES);
+        Some(self.remaining.split_to(chunk_bytes))
     }
 }
 
-pub(crate) enum CallerBody {
-    Whole(BufferedResponseBody),
-    Events(Events),
+pub(crate) enum ResponseBody {
+    Buffered(BufferedResponseBody),
+    Events(EventStream),
 }
 
-impl Body for CallerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerAborted;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match self.get_mut() {
-            CallerBody::Whole(body) => {
+            ResponseBody::Buffered(body) => {
                 let chunk = body.next_chunk();
                 Poll::Ready(chunk.map(|chunk| Ok(Frame::data(chunk))))
             }
-            CallerBody::Events(events) => events
+            ResponseBody::Events(events) => events
                 .as_mut()
                 .poll_next(cx)
                 .map(|next| next.map(|event| event.map(Frame::data))),
@@ -76,21 +78,21 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            CallerBody::Whole(body) => SizeHint::with_exact(body.bytes.len() as u64),
-            CallerBody::Events(_) => SizeHint::default(),
+            ResponseBody::Buffered(body) => SizeHint::with_exact(body.remaining.len() as u64),
+            ResponseBody::Events(_) => SizeHint::default(),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            CallerBody::Whole(body) => body.bytes.is_empty(),
-            CallerBody::Events(_) => false,
+            ResponseBody::Buffered(body) => body.remaining.is_empty(),
+            ResponseBody::Events(_) => false,
         }
     }
 }
 
 impl Refusal {
-    /// Creates a refusal with the default retry delay of its reason.
+    /// Creates a refusal with the usual retry delay for its reason, if a retry can succeed.
     pub(crate) fn new(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -99,46 +101,44 @@
         }
     }
 
-    /// Creates a refusal of a request that another host may accept at once.
-    pub(crate) fn elsewhere(reason: Reason, detail: impl Into<String>) -> Self {
+    /// Creates a refusal of a request that another host or endpoint may accept at once.
+    pub(crate) fn with_short_retry(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
-            retry_after_ms: Some(OTHER_HOST_RETRY_MS),
+            retry_after_ms: Some(SHORT_RETRY_MS),
             ..Self::new(reason, detail)
         }
     }
 
-    /// The outcome that it reports for the request.
     pub(crate) fn outcome(&self) -> Outcome {
         self.reason.outcome()
     }
 
-    /// Converts the refusal to a response.
+    /// Converts the refusal to a response in the wire format of `edge`.
     pub(crate) fn into_response(
         self,
         edge: &dyn Edge,
-        id: Option<&RequestId>,
-    ) -> Response<CallerBody> {
-        let response = edge.refusal(id, &self);
-        response.map(|body| CallerBody::Whole(BufferedResponseBody::unreserved(body)))
+        request_id: Option<&RequestId>,
+    ) -> Response<ResponseBody> {
+        let response = edge.refusal(request_id, &self);
+        response.map(|body| ResponseBody::Buffered(BufferedResponseBody::unreserved(body)))
     }
 }
 
-/// Delay before a retry at another host.
-const OTHER_HOST_RETRY_MS: u64 = 10;
+const SHORT_RETRY_MS: u64 = 10;
 
-/// Delay after which a request that did not run may be repeated. Another host may
-/// accept it at once; full endpoints and pools need longer. Random for overloaded
-/// pools, so that refused callers don't return together.
+/// Returns the delay before a retry; `None` if no retry can succeed. Random if the pool is
+/// full, so that callers don't return together. Some delays replace those of
+/// [`Reason::retry_after_s`], whose whole seconds are too coarse.
 fn retry_after_ms(reason: Reason) -> Option<u64> {
-    const FULL_ENDPOINT_RETRY_MS: u64 = 200;
-    const NO_ENDPOINT_RETRY_MS: u64 = 500;
-    const OVERLOAD_RETRY_MS: std::ops::Range<u64> = 300..1_000;
+    const FAILED_ATTEMPT_RETRY_MS: u64 = 200;
+    const NOT_READY_RETRY_MS: u64 = 500;
+    const FULL_POOL_RETRY_MS: std::ops::Range<u64> = 300..1_000;
     match reason {
-        Reason::Leaving | Reason::HostFull => Some(OTHER_HOST_RETRY_MS),
-        Reason::NoView | Reason::NoEndpoint => Some(NO_ENDPOINT_RETRY_MS),
-        Reason::AtBound | Reason::OverShare => Some(rand::rng().random_range(OVERLOAD_RETRY_MS)),
+        Reason::Leaving | Reason::HostFull => Some(SHORT_RETRY_MS),
+        Reason::NoView | Reason::NoEndpoint => Some(NOT_READY_RETRY_MS),
+        Reason::AtBound | Reason::OverShare => Some(rand::rng().random_range(FULL_POOL_RETRY_MS)),
         Reason::EndpointRefused | Reason::EndpointUnreachable | Reason::DeadlineTooClose => {
-            Some(FULL_ENDPOINT_RETRY_MS)
+            Some(FAILED_ATTEMPT_RETRY_MS)
         }
         other => other.retry_after_s().map(|s| u64::from(s) * 1_000),
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode, http};
 use tokio::time::Instant;
 
-use crate::answer::{BufferedResponseBody, CHUNK_BYTES};
+use crate::answer::{BufferedResponseBody, MAX_CHUNK_BYTES};
 use crate::call::Call;
 use crate::edge::{AnswerHead, SendHead};
 use crate::endpoint_connections::{Connection, SentBody, connect};
@@ -320,9 +320,9 @@
     }
     // Reserves the announced size up front, so that partly read bodies don't wait for
     // each other. One chunk is buffered by the connection and needs no reservation.
-    let announced_bytes = announced_bytes.saturating_sub(CHUNK_BYTES);
-    let mut held = shared.answers.hold(announced_bytes, organisation).await;
-    let mut unused_bytes = announced_bytes + CHUNK_BYTES;
+    let announced_bytes = announced_bytes.saturating_sub(MAX_CHUNK_BYTES);
+    let mut reservation = shared.answers.hold(announced_bytes, organisation).await;
+    let mut unused_bytes = announced_bytes + MAX_CHUNK_BYTES;
     let mut bytes = BytesMut::with_capacity(announced_bytes);
     let mut frames = Limited::new(body, MAX_RESPONSE_BYTES);
     while let Some(frame) = frames.frame().await {
@@ -331,13 +331,13 @@
         };
         if data.len() > unused_bytes {
             let more = shared.answers.hold(data.len() - unused_bytes, organisation);
-            held.merge(more.await);
+            reservation.merge(more.await);
         }
         unused_bytes = unused_bytes.saturating_sub(data.len());
         bytes.extend_from_slice(&data);
     }
     Some(BufferedResponseBody {
-        bytes: bytes.freeze(),
-        held: Some(held),
+        remaining: bytes.freeze(),
+        reservation: Some(reservation),
     })
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -111,7 +111,7 @@
     }
     let lag_ms = shared.lag.ms();
     if rand::random::<f64>() < shed_probability(lag_ms) {
-        return Err(Refusal::elsewhere(
+        return Err(Refusal::with_short_retry(
             Reason::AtBound,
             format!("the host is overloaded: scheduler lag is {lag_ms} ms"),
         ));
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-use crate::answer::{AnswerAborted, CallerBody};
+use crate::answer::{ResponseAborted, ResponseBody};
 
 /// Whether a connection waits for a request or serves one.
 #[derive(Debug, Default)]
@@ -55,18 +55,18 @@
 
 /// A response body that keeps its connection marked as serving.
 pub(crate) struct ServedBody {
-    pub(crate) body: CallerBody,
+    pub(crate) body: ResponseBody,
     pub(crate) _serving: ServingGuard,
 }
 
 impl Body for ServedBody {
     type Data = Bytes;
-    type Error = AnswerAborted;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::access_log::{Completion, DisconnectGuard, record, record_refusal};
-use crate::answer::CallerBody;
+use crate::answer::ResponseBody;
 use crate::attempt::{AttemptResponse, BufferedResponse};
 use crate::call::prepare_call;
 use crate::caller_stream::{CallerStream, ConnectionState, ServedBody};
@@ -99,7 +99,7 @@
 /// The smallest buffer size that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-async fn serve(shared: Arc<Shared>, request: Request<Incoming>) -> Response<CallerBody> {
+async fn serve(shared: Arc<Shared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let entered_at = Instant::now();
     let running = shared.begin_request();
     let (parts, body) = request.into_parts();
@@ -150,19 +150,19 @@
     close_if_needed(&shared, response)
 }
 
-fn buffered_response(shared: &Shared, buffered: BufferedResponse) -> Response<CallerBody> {
-    let mut response = Response::new(CallerBody::Whole(buffered.body));
+fn buffered_response(shared: &Shared, buffered: BufferedResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Buffered(buffered.body));
     *response.status_mut() = buffered.head.status;
     *response.headers_mut() = caller_headers(shared, &buffered.head);
     response
 }
 
-fn stream_response(shared: &Shared, relay: StreamRelay) -> Response<CallerBody> {
+fn stream_response(shared: &Shared, relay: StreamRelay) -> Response<ResponseBody> {
     let (status, headers) = relay
         .head()
         .map(|head| (head.status, caller_headers(shared, head)))
         .unwrap_or_default();
-    let mut response = Response::new(CallerBody::Events(relay.into_events()));
+    let mut response = Response::new(ResponseBody::Events(relay.into_events()));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
@@ -180,7 +180,7 @@
     id: Option<&RequestId>,
     entered_at: Instant,
     refusal: Refusal,
-) -> Response<CallerBody> {
+) -> Response<ResponseBody> {
     record_refusal(shared, id, entered_at, &refusal);
     let response = refusal.into_response(&*shared.edge, id);
     close_if_needed(shared, response)
@@ -189,7 +189,10 @@
 /// Closes the connection after this response if the host stops or half of its
 /// connection permits are in use. Idle connections could otherwise hold all
 /// permits and block new callers.
-fn close_if_needed(shared: &Shared, mut response: Response<CallerBody>) -> Response<CallerBody> {
+fn close_if_needed(
+    shared: &Shared,
+    mut response: Response<ResponseBody>,
+) -> Response<ResponseBody> {
     let free = shared.connection_permits.available_permits();
     let is_crowded = free < shared.config.connections_max / 2;
     if is_crowded || shared.stop_phase().is_some() {
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -115,7 +115,7 @@
     /// Limits concurrent large responses: without a free slot, returns only small parts and
     /// a busy response.
     fn limit_uploads(&self, missing: MissingState, to: SocketAddr) -> MissingState {
-        let rules = missing.rules.as_ref().map_or(0, RulesUpdate::entries);
+        let rules = missing.rules.as_ref().map_or(0, RulesUpdate::entry_count);
         let endpoints = missing
             .endpoints
             .as_ref()
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -296,7 +296,7 @@
         let last = self.attempts.last();
         let is_backing_off = last.is_some_and(|last| last.backoff_ms.is_some());
         if is_backing_off && self.pool_has_capacity() {
-            return Refusal::elsewhere(reason, detail);
+            return Refusal::with_short_retry(reason, detail);
         }
         Refusal::new(reason, detail)
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::access_log::{Completion, record, record_disconnect};
-use crate::answer::{AnswerAborted, Events};
+use crate::answer::{EventStream, ResponseAborted};
 use crate::attempt::{AttemptResponse, OpenStream};
 use crate::call::Call;
 use crate::dispatch::dispatch;
@@ -96,14 +96,14 @@
         self.stream.as_ref().map(|stream| &stream.head)
     }
 
-    pub(crate) fn into_events(self) -> Events {
+    pub(crate) fn into_events(self) -> EventStream {
         Box::pin(futures::stream::unfold(self, |mut relay| async move {
             let next = relay.next().await?;
             Some((next, relay))
         }))
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, AnswerAborted>> {
+    async fn next(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
         self.was_unread |= self.relayed_at.elapsed() >= UNREAD_TIMEOUT;
         while !self.has_ended {
             match self.receive().await {
@@ -259,7 +259,7 @@
         has_enough.then(|| run_time / (self.chunk_count - 1))
     }
 
-    fn abort(&mut self, reason: Reason) -> Result<Bytes, AnswerAborted> {
+    fn abort(&mut self, reason: Reason) -> Result<Bytes, ResponseAborted> {
         self.has_ended = true;
         self.stream = None;
         self.record_completion(Completion {
@@ -268,7 +268,7 @@
             reason: Some(reason),
             detail: String::new(),
         });
-        Err(AnswerAborted)
+        Err(ResponseAborted)
     }
 
     fn record_completion(&mut self, completion: Completion) {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -130,7 +130,7 @@
 
     /// Puts rules into force unless newer ones are. Returns whether they are new.
     pub(crate) fn replace_rules(&self, document: RulesDocument, from: &str) -> bool {
-        let is_new = self.rules.replace(document);
+        let is_new = self.rules.activate(document);
         self.handle_rules(is_new, from);
         is_new
     }
