--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -29,7 +29,7 @@
 async fn metrics(State(shared): State<Arc<PeerContext>>) -> String {
     let version = shared.view.borrow().config_version();
     shared.metrics.gauge("config_version", "", version.0 as f64);
-    for (labels, bytes) in shared.traffic.labelled() {
+    for (labels, bytes) in shared.traffic.bytes_by_label() {
         shared
             .metrics
             .gauge("control_bytes_total", &labels, bytes as f64);
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -10,7 +10,8 @@
 
 use chalkrock_core::{Host, HostId, HostState};
 use chalkrock_proto::{
-    AgentApiClient, Hello, LeavingEndpoint, PROTOCOL_VERSION, PeerUpdate, Purpose, Traffic, connect,
+    AgentApiClient, ControlTraffic, Hello, LeavingEndpoint, PROTOCOL_VERSION, PeerUpdate, Purpose,
+    connect,
 };
 use kameo::actor::ActorRef;
 use rand::RngExt;
@@ -37,7 +38,7 @@
     pub(crate) slots: Arc<Slots>,
     pub(crate) view_actor: ActorRef<ViewActor>,
     pub(crate) view: watch::Receiver<Arc<AgentView>>,
-    pub(crate) traffic: Arc<Traffic>,
+    pub(crate) traffic: Arc<ControlTraffic>,
 }
 
 /// Builds the update for a peer.
@@ -148,7 +149,7 @@
             host: self.host.clone(),
             purpose: Purpose::Exchange,
         };
-        let count = self.traffic.open(Purpose::Exchange);
+        let count = self.traffic.new_counter(Purpose::Exchange);
         match connect(peer.agent_address, hello, count).await {
             Ok(client) => {
                 clients.insert(peer.agent_address, client.clone());
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -6,9 +6,9 @@
 
 use chalkrock_process::Metrics;
 use chalkrock_proto::{
-    AgentApi, ByteCounter, ClaimResult, ClaimWrite, ConfigBody, Hello, KnownView, PROTOCOL_VERSION,
-    PeerError, PeerUpdate, Purpose, SlotCount, SlotReply, SlotRequest, Traffic, ViewUpdate,
-    transport,
+    AgentApi, ByteCounter, ClaimResult, ClaimWrite, ConfigBody, ControlTraffic, Hello, KnownView,
+    PROTOCOL_VERSION, PeerError, PeerUpdate, Purpose, SlotCount, SlotReply, SlotRequest,
+    ViewUpdate, transport,
 };
 use futures::StreamExt;
 use kameo::actor::ActorRef;
@@ -36,7 +36,7 @@
     pub(crate) slots: Arc<Slots>,
     pub(crate) claims: ClaimBatcher,
     pub(crate) view_actor: ActorRef<ViewActor>,
-    pub(crate) traffic: Arc<Traffic>,
+    pub(crate) traffic: Arc<ControlTraffic>,
 }
 
 /// A connection of a router or agent.
@@ -126,7 +126,7 @@
         }
         self.shared
             .traffic
-            .attach(hello.purpose, self.count.clone());
+            .add_counter(hello.purpose, self.count.clone());
         *self.hello.lock().unwrap_or_else(PoisonError::into_inner) = Some(hello);
         Ok(())
     }
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -7,7 +7,7 @@
 use chalkrock_core::key_digest;
 use chalkrock_platform::HttpPlatform;
 use chalkrock_process::Metrics;
-use chalkrock_proto::Traffic;
+use chalkrock_proto::ControlTraffic;
 use kameo::actor::Spawn;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -65,7 +65,7 @@
     let view_actor = ViewActor::spawn(published);
     let fleet_key_sha256: Arc<str> = key_digest(&settings.fleet_key).into();
     let slots = Arc::new(Slots::new(settings.host.clone(), settings.settle_ms));
-    let traffic = Arc::new(Traffic::default());
+    let traffic = Arc::new(ControlTraffic::default());
     let shared = Arc::new(PeerContext {
         fleet_key_sha256: fleet_key_sha256.clone(),
         view: view.clone(),
--- a/crates/core/src/load_table.rs
+++ b/crates/core/src/load_table.rs
@@ -167,9 +167,8 @@
 
     /// Returns the mean load per unit of weight of unexpired entries; 0 without any.
     ///
-    /// Old loads are discounted, since the engines of a crashed host drain while its
-    /// last entry remains. The discount is small: a lower mean lowers the limits, and
-    /// the rejections that follow lower the mean further.
+    /// Old loads are discounted, since a crashed host's engines drain while its last
+    /// entry remains; only a little, since lower limits reject more and so lower the mean.
     pub fn mean(&self, now_ms: u64) -> f64 {
         let (mut in_progress, mut weight) = (0.0, 0.0);
         for stored in self.entries.values() {
--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -1,4 +1,4 @@
-//! One engine's ledger: limits, delayed reports, adoption, slots not returned.
+//! One engine's ledger: limits, settling, reports, adoption, shared ownership and shares.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-fn rules() -> SlotRules {
+fn rules_without_settling() -> SlotRules {
     SlotRules {
         settle_ms: 0,
         ..SlotRules::for_load_multiple(1.25)
@@ -16,10 +16,10 @@
 }
 
 fn holder(host: u8) -> SlotHolder<u8> {
-    holder_in(host, 0)
+    holder_of(host, 0)
 }
 
-fn holder_in(host: u8, organisation: u32) -> SlotHolder<u8> {
+fn holder_of(host: u8, organisation: u32) -> SlotHolder<u8> {
     SlotHolder {
         host,
         organisation: OrganisationKey(organisation),
@@ -47,29 +47,41 @@
     )
 }
 
-fn grant(slots: &mut EngineSlots<u8>, host: u8, now_ms: u64, mean: f64) -> bool {
-    let decision = request_slot(slots, holder(host), now_ms, mean, false, &rules());
+fn try_grant(slots: &mut EngineSlots<u8>, host: u8, now_ms: u64, mean_load: f64) -> bool {
+    let decision = request_slot(
+        slots,
+        holder(host),
+        now_ms,
+        mean_load,
+        false,
+        &rules_without_settling(),
+    );
     matches!(decision, SlotDecision::Granted { .. })
 }
 
 #[test]
-fn limit_exceeds_the_mean() {
-    for mean in [0.0, 1.0, 4.0, 4.9, 8.0, 42.0] {
-        let limit = rules().limit(mean, 1.0);
-        assert_that!(f64::from(limit), gt(mean.max(4.0)));
-        assert_that!(f64::from(limit), le(1.25 * mean.max(4.0)));
+fn limit_is_above_the_mean_and_within_its_multiple() {
+    for mean_load in [0.0, 1.0, 4.0, 4.9, 8.0, 42.0] {
+        let limit = rules_without_settling().limit(mean_load, 1.0);
+        assert_that!(f64::from(limit), gt(mean_load.max(4.0)));
+        assert_that!(f64::from(limit), le(1.25 * mean_load.max(4.0)));
     }
 }
 
 #[test]
 fn grants_stop_at_the_limit() {
     let mut slots = EngineSlots::new(1.0, 0);
-    let granted = (0..20).filter(|_| grant(&mut slots, 1, 10, 8.0)).count();
-    assert_that!(granted, eq(rules().limit(8.0, 1.0) as usize));
+    let granted = (0..20)
+        .filter(|_| try_grant(&mut slots, 1, 10, 8.0))
+        .count();
+    assert_that!(
+        granted,
+        eq(rules_without_settling().limit(8.0, 1.0) as usize)
+    );
 }
 
 #[test]
-fn request_before_settling_is_not_granted() {
+fn request_is_granted_only_after_settling() {
     let rules = SlotRules::for_load_multiple(1.25);
     let mut slots = EngineSlots::new(1.0, 1_000);
     let early = request_slot(
@@ -93,9 +105,9 @@
 }
 
 #[test]
-fn report_includes_foreign_load() {
+fn load_includes_requests_that_only_a_report_shows() {
     let mut slots = EngineSlots::<u8>::new(1.0, 0);
-    slots.report(20_000, 7, &rules());
+    slots.report(20_000, 7, &rules_without_settling());
     assert_that!(slots.load(), eq(7));
 }
 
@@ -103,39 +115,40 @@
 fn delayed_report_does_not_count_grants_twice() {
     let mut slots = EngineSlots::new(1.0, 0);
     for _ in 0..6 {
-        grant(&mut slots, 1, 10_000, 8.0);
+        try_grant(&mut slots, 1, 10_000, 8.0);
     }
-    // A report may describe any time of the grants, so 0 to 6 are consistent.
+    // A report may be up to 8 s old, and grants rose from 0 to 6 meanwhile.
     for in_progress in [0, 3, 6] {
-        slots.report(11_000, in_progress, &rules());
+        slots.report(11_000, in_progress, &rules_without_settling());
         assert_that!(slots.load(), eq(6), "report {in_progress}");
     }
 }
 
 #[test]
-fn report_frees_slots_that_were_not_returned() {
+fn report_lowers_the_load_by_slots_that_were_not_returned() {
     let mut slots = EngineSlots::new(1.0, 0);
     for _ in 0..6 {
-        grant(&mut slots, 1, 1_000, 8.0);
+        try_grant(&mut slots, 1, 1_000, 8.0);
     }
-    slots.report(30_000, 2, &rules());
+    slots.report(30_000, 2, &rules_without_settling());
     assert_that!(slots.load(), eq(2));
 }
 
 #[test]
-fn completed_foreign_load_decays_while_local_grants_vary() {
+fn completed_foreign_requests_leave_the_load_after_local_grants() {
     let mut slots = EngineSlots::new(1.0, 0);
-    slots.report(10_000, 8, &rules());
+    slots.report(10_000, 8, &rules_without_settling());
     // The eight foreign requests complete, and eight local grants replace them.
     for _ in 0..8 {
-        grant(&mut slots, 1, 11_000, 20.0);
+        try_grant(&mut slots, 1, 11_000, 20.0);
     }
     for second in 12..40 {
-        slots.report(second * 1_000, 8, &rules());
+        slots.report(second * 1_000, 8, &rules_without_settling());
     }
     assert_that!(slots.load(), le(9));
 }
 
+/// A router reports slots that a previous owner granted.
 #[test]
 fn adopt_before_any_report_adds_load() {
     let mut slots = EngineSlots::new(1.0, 0);
@@ -146,23 +159,30 @@
 #[test]
 fn adopt_after_a_report_converts_foreign_load() {
     let mut slots = EngineSlots::new(1.0, 0);
-    slots.report(20_000, 5, &rules());
+    slots.report(20_000, 5, &rules_without_settling());
     slots.adopt(holder(1), 20_100, 5);
     assert_that!(slots.load(), eq(5));
     assert_that!(slots.granted(), eq(5));
 }
 
 #[test]
-fn shared_owners_stay_under_the_limit_in_total() {
+fn shared_owners_do_not_exceed_the_limit_in_total() {
     let (mut a, mut b) = (EngineSlots::new(1.0, 0), EngineSlots::new(1.0, 0));
-    let limit = rules().limit(8.0, 1.0);
+    let limit = rules_without_settling().limit(8.0, 1.0);
     for slots in [&mut a, &mut b] {
-        slots.report(20_000, 2, &rules());
+        slots.report(20_000, 2, &rules_without_settling());
     }
     let mut total = 2;
     for now_ms in 20_001..20_100 {
         for slots in [&mut a, &mut b] {
-            let decision = request_slot(slots, holder(1), now_ms, 8.0, true, &rules());
+            let decision = request_slot(
+                slots,
+                holder(1),
+                now_ms,
+                8.0,
+                true,
+                &rules_without_settling(),
+            );
             total += u32::from(matches!(decision, SlotDecision::Granted { .. }));
         }
     }
@@ -170,17 +190,17 @@
     assert_that!(total, gt(2));
 }
 
-fn crowded_rules() -> SlotRules {
+fn rules_with_capacity() -> SlotRules {
     SlotRules {
         capacity: 10.0,
-        ..rules()
+        ..rules_without_settling()
     }
 }
 
-/// Number of `count` requests of an organisation that are granted.
-fn granted_to(slots: &mut EngineSlots<u8>, organisation: u32, count: usize) -> usize {
-    let holder = holder_in(1, organisation);
-    let mut request = || request_slot(slots, holder, 10, 20.0, false, &crowded_rules());
+/// Requests `count` slots for an organisation and returns how many are granted.
+fn request_slots_for(slots: &mut EngineSlots<u8>, organisation: u32, count: usize) -> usize {
+    let holder = holder_of(1, organisation);
+    let mut request = || request_slot(slots, holder, 10, 20.0, false, &rules_with_capacity());
     (0..count)
         .filter(|_| matches!(request(), SlotDecision::Granted { .. }))
         .count()
@@ -189,59 +209,60 @@
 #[test]
 fn share_of_a_lone_organisation_is_the_whole_engine() {
     let mut slots = EngineSlots::new(1.0, 0);
-    assert_that!(granted_to(&mut slots, 1, 20), eq(10));
+    assert_that!(request_slots_for(&mut slots, 1, 20), eq(10));
 }
 
 #[test]
 fn share_of_others_is_reserved_in_a_surge() {
+    // Shares are 5 each and limit grants from a load of 8.
     let mut slots = EngineSlots::new(1.0, 0);
-    assert_that!(granted_to(&mut slots, 2, 1), eq(1));
-    assert_that!(granted_to(&mut slots, 1, 20), eq(7));
-    assert_that!(granted_to(&mut slots, 2, 20), eq(2));
+    assert_that!(request_slots_for(&mut slots, 2, 1), eq(1));
+    assert_that!(request_slots_for(&mut slots, 1, 20), eq(7));
+    assert_that!(request_slots_for(&mut slots, 2, 20), eq(2));
 }
 
 #[test]
-fn share_goes_by_weight() {
+fn freed_slot_is_reserved_for_the_organisation_under_its_share() {
     let mut slots = EngineSlots::new(1.0, 0);
-    granted_to(&mut slots, 1, 8);
-    // Its weight is 3 of 4, so its share is three quarters.
-    assert_that!(granted_to(&mut slots, 9, 20), eq(2));
-    let refused = request_slot(
+    request_slots_for(&mut slots, 1, 8);
+    // Organisation 9 has weight 3 of 4 and so a share of 7.5.
+    assert_that!(request_slots_for(&mut slots, 9, 20), eq(2));
+    let decision_when_full = request_slot(
         &mut slots,
-        holder_in(1, 1),
+        holder_of(1, 1),
         10,
         20.0,
         false,
-        &crowded_rules(),
+        &rules_with_capacity(),
     );
-    assert_that!(refused, eq(SlotDecision::AtBound { load: 10 }));
-    slots.return_slots(&holder_in(1, 1), 20, 1);
-    let borrower = request_slot(
+    assert_that!(decision_when_full, eq(SlotDecision::AtBound { load: 10 }));
+    slots.return_slots(&holder_of(1, 1), 20, 1);
+    let decision_over_share = request_slot(
         &mut slots,
-        holder_in(1, 1),
+        holder_of(1, 1),
         30,
         20.0,
         false,
-        &crowded_rules(),
+        &rules_with_capacity(),
     );
-    assert_that!(borrower, eq(SlotDecision::OverShare { load: 9 }));
-    assert_that!(granted_to(&mut slots, 9, 1), eq(1));
+    assert_that!(decision_over_share, eq(SlotDecision::OverShare { load: 9 }));
+    assert_that!(request_slots_for(&mut slots, 9, 1), eq(1));
 }
 
 #[derive(Clone, Debug)]
-enum Op {
+enum Operation {
     Request(u8),
     Return(u8),
     RemoveHost(u8),
-    Wait(u64),
+    WaitMs(u64),
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        4 => (0..4u8).prop_map(Op::Request),
-        3 => (0..4u8).prop_map(Op::Return),
-        1 => (0..4u8).prop_map(Op::RemoveHost),
-        1 => (0..500u64).prop_map(Op::Wait),
+        4 => (0..4u8).prop_map(Operation::Request),
+        3 => (0..4u8).prop_map(Operation::Return),
+        1 => (0..4u8).prop_map(Operation::RemoveHost),
+        1 => (0..500u64).prop_map(Operation::WaitMs),
     ]
 }
 
@@ -253,34 +274,33 @@
         ..ProptestConfig::default()
     })]
 
-    /// The ledger equals a plain count of each holder's slots, and no grant exceeds
-    /// the limit.
+    /// The granted total equals a plain count, and no grant exceeds the limit.
     #[test]
-    fn ledger_matches_a_plain_count(ops in prop::collection::vec(op(), 1..200)) {
+    fn granted_total_matches_a_plain_count(operations in prop::collection::vec(operation(), 1..200)) {
         let mut slots = EngineSlots::new(1.0, 0);
-        let mut held: HashMap<u8, u32> = HashMap::new();
+        let mut held_by_host: HashMap<u8, u32> = HashMap::new();
         let mut now_ms = 0;
-        for op in ops {
-            match op {
-                Op::Request(host) => {
-                    if grant(&mut slots, host, now_ms, 6.0) {
-                        *held.entry(host).or_default() += 1;
-                        prop_assert!(slots.load() <= rules().limit(6.0, 1.0));
+        for operation in operations {
+            match operation {
+                Operation::Request(host) => {
+                    if try_grant(&mut slots, host, now_ms, 6.0) {
+                        *held_by_host.entry(host).or_default() += 1;
+                        prop_assert!(slots.load() <= rules_without_settling().limit(6.0, 1.0));
                     }
                 }
-                Op::Return(host) => {
+                Operation::Return(host) => {
                     slots.return_slots(&holder(host), now_ms, 1);
-                    if let Some(count) = held.get_mut(&host) {
+                    if let Some(count) = held_by_host.get_mut(&host) {
                         *count = count.saturating_sub(1);
                     }
                 }
-                Op::RemoveHost(host) => {
+                Operation::RemoveHost(host) => {
                     slots.remove_host(&host, now_ms);
-                    held.remove(&host);
+                    held_by_host.remove(&host);
                 }
-                Op::Wait(ms) => now_ms += ms,
+                Operation::WaitMs(ms) => now_ms += ms,
             }
-            prop_assert_eq!(slots.granted(), held.values().sum::<u32>());
+            prop_assert_eq!(slots.granted(), held_by_host.values().sum::<u32>());
         }
     }
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -36,5 +36,5 @@
     Purpose, SlotCount, SlotReply, SlotRequest, ViewUpdate,
 };
 pub use counted::{ByteCounter, CountedStream};
-pub use traffic::{Traffic, TrafficBytes};
+pub use traffic::{ControlTraffic, TrafficBytes};
 pub use transport::{ConnectError, CountedTransport, MAX_FRAME_BYTES, connect, transport};
--- a/crates/proto/src/traffic.rs
+++ b/crates/proto/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Control traffic of a process by purpose.
+//! Bytes on a process's control connections, by purpose.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,61 +15,67 @@
     pub written_bytes: u64,
 }
 
-/// Byte counters of all connections of a process, open and closed.
+/// Byte counters of the control connections of a process whose purpose is known.
 ///
 /// # Example
 ///
 /// ```
-/// use chalkrock_proto::{Purpose, Traffic};
+/// use chalkrock_proto::{ControlTraffic, Purpose};
 ///
-/// let traffic = Traffic::default();
-/// let counter = traffic.open(Purpose::Slots);
+/// let traffic = ControlTraffic::default();
+/// let counter = traffic.new_counter(Purpose::Slots);
 /// assert_eq!(traffic.bytes(Purpose::Slots).read_bytes, counter.read_bytes());
 /// ```
 #[derive(Debug, Default)]
-pub struct Traffic(Mutex<State>);
+pub struct ControlTraffic(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    closed: BTreeMap<Purpose, TrafficBytes>,
-    open: Vec<(Purpose, Arc<ByteCounter>)>,
+    closed_bytes: BTreeMap<Purpose, TrafficBytes>,
+    /// Counters of open connections, and of closed ones until the next `add_counter`.
+    counters: Vec<(Purpose, Arc<ByteCounter>)>,
 }
 
-impl Traffic {
-    /// Creates and attaches the counter of a new connection.
-    pub fn open(&self, purpose: Purpose) -> Arc<ByteCounter> {
+impl ControlTraffic {
+    /// Creates and adds the counter of a new connection.
+    pub fn new_counter(&self, purpose: Purpose) -> Arc<ByteCounter> {
         let counter = Arc::new(ByteCounter::default());
-        self.attach(purpose, counter.clone());
+        self.add_counter(purpose, counter.clone());
         counter
     }
 
-    /// Attaches the counter of a connection whose purpose became known after it was opened.
-    pub fn attach(&self, purpose: Purpose, counter: Arc<ByteCounter>) {
+    /// Adds the counter of a connection whose purpose became known after it was opened.
+    pub fn add_counter(&self, purpose: Purpose, counter: Arc<ByteCounter>) {
         let mut state = self.state();
-        state.fold_closed();
-        state.open.push((purpose, counter));
+        state.fold_closed_counters();
+        state.counters.push((purpose, counter));
     }
 
-    /// Returns the bytes of a purpose on all connections.
+    /// Returns the bytes transferred for a purpose since the process started.
     pub fn bytes(&self, purpose: Purpose) -> TrafficBytes {
         let state = self.state();
-        let mut total = state.closed.get(&purpose).copied().unwrap_or_default();
-        for (_, counter) in state.open.iter().filter(|(p, _)| *p == purpose) {
+        let mut total = state
+            .closed_bytes
+            .get(&purpose)
+            .copied()
+            .unwrap_or_default();
+        for (_, counter) in state.counters.iter().filter(|(p, _)| *p == purpose) {
             total.add(counter);
         }
         total
     }
 
-    /// Returns the bytes by purpose and direction, with their metric labels.
-    pub fn labelled(&self) -> Vec<(String, u64)> {
-        let mut labelled = Vec::new();
+    /// Returns the bytes by purpose and direction, each with its metric labels.
+    pub fn bytes_by_label(&self) -> Vec<(String, u64)> {
+        let mut bytes_by_label = Vec::new();
         for purpose in Purpose::ALL {
             let bytes = self.bytes(purpose);
-            let label = |dir: &str| format!("purpose=\"{}\",way=\"{dir}\"", purpose.label());
-            labelled.push((label("in"), bytes.read_bytes));
-            labelled.push((label("out"), bytes.written_bytes));
+            let label =
+                |direction: &str| format!("purpose=\"{}\",way=\"{direction}\"", purpose.label());
+            bytes_by_label.push((label("in"), bytes.read_bytes));
+            bytes_by_label.push((label("out"), bytes.written_bytes));
         }
-        labelled
+        bytes_by_label
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -78,13 +84,13 @@
 }
 
 impl State {
-    /// Adds the counters of dropped connections to the totals.
-    fn fold_closed(&mut self) {
+    /// Moves the counters whose connections were dropped to the totals.
+    fn fold_closed_counters(&mut self) {
         let closed = self
-            .open
+            .counters
             .extract_if(.., |(_, counter)| Arc::strong_count(counter) == 1);
         for (purpose, counter) in closed {
-            self.closed.entry(purpose).or_default().add(&counter);
+            self.closed_bytes.entry(purpose).or_default().add(&counter);
         }
     }
 }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -201,7 +201,7 @@
             purpose: Purpose::Claims,
             ..state.hello.clone()
         };
-        let count = state.traffic.open(Purpose::Claims);
+        let count = state.traffic.new_counter(Purpose::Claims);
         match connect(address, hello, count).await {
             Ok(client) => {
                 state.claim_writers.insert(row_key, client.clone());
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -25,7 +25,7 @@
     loop {
         for address in [Some(local), fallback(&state, local)].into_iter().flatten() {
             let hello = hello(&state.settings.host, &state.fleet_key_sha256, Purpose::View);
-            let count = state.traffic.open(Purpose::View);
+            let count = state.traffic.new_counter(Purpose::View);
             match connect(address, hello, count).await {
                 Ok(agent) => {
                     log::info!(target: LOG_TARGET, "Following agent {address}.");
--- a/crates/router/src/operators.rs
+++ b/crates/router/src/operators.rs
@@ -63,7 +63,7 @@
     state
         .metrics
         .gauge("view_endpoints", "", view.hosts.endpoints.len() as f64);
-    for (labels, bytes) in state.traffic.labelled() {
+    for (labels, bytes) in state.traffic.bytes_by_label() {
         state
             .metrics
             .gauge("control_bytes_total", &labels, bytes as f64);
--- a/crates/router/src/owners.rs
+++ b/crates/router/src/owners.rs
@@ -11,7 +11,7 @@
 use arc_swap::ArcSwapOption;
 use chalkrock_core::{LoadSampler, PoolId, SlotResponse};
 use chalkrock_proto::{
-    AgentApiClient, Hello, Purpose, SlotCount, SlotReply, SlotRequest, Traffic, connect,
+    AgentApiClient, ControlTraffic, Hello, Purpose, SlotCount, SlotReply, SlotRequest, connect,
 };
 use tarpc::context;
 use tokio::sync::Notify;
@@ -37,7 +37,7 @@
 /// Connections to the agents that own engines, and the slots held.
 pub(crate) struct Owners {
     hello: Hello,
-    traffic: Arc<Traffic>,
+    traffic: Arc<ControlTraffic>,
     ask_timeout: Duration,
     links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
     /// Wakes the task that returns slots.
@@ -76,7 +76,11 @@
 }
 
 impl Owners {
-    pub(crate) fn new(hello: Hello, traffic: Arc<Traffic>, ask_timeout: Duration) -> Arc<Self> {
+    pub(crate) fn new(
+        hello: Hello,
+        traffic: Arc<ControlTraffic>,
+        ask_timeout: Duration,
+    ) -> Arc<Self> {
         Arc::new(Self {
             hello: Hello {
                 purpose: Purpose::Slots,
@@ -202,7 +206,7 @@
         }
         let owners = self.clone();
         tokio::spawn(async move {
-            let count = owners.traffic.open(Purpose::Slots);
+            let count = owners.traffic.new_counter(Purpose::Slots);
             match connect(owner, owners.hello.clone(), count).await {
                 Ok(client) => {
                     owners.send_held(&client, owner).await;
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use chalkrock_core::{HostId, RequestId, RetryBudget, TokenKey, key_digest};
 use chalkrock_process::{Metrics, Stop};
-use chalkrock_proto::{Hello, PROTOCOL_VERSION, Purpose, Traffic};
+use chalkrock_proto::{ControlTraffic, Hello, PROTOCOL_VERSION, Purpose};
 use kameo::actor::{ActorRef, Spawn};
 use tokio::sync::Notify;
 
@@ -31,7 +31,7 @@
     pub(crate) recorder: ActorRef<Recorder>,
     pub(crate) metrics: Metrics,
     pub(crate) owners: Arc<Owners>,
-    pub(crate) traffic: Arc<Traffic>,
+    pub(crate) traffic: Arc<ControlTraffic>,
     pub(crate) claim_writers: ClaimWriters,
     retries: Mutex<RetryBudget>,
     pub(crate) hello: Hello,
@@ -52,7 +52,7 @@
             .redirect(reqwest::redirect::Policy::none())
             .build()?;
         let fleet_key_sha256: Arc<str> = key_digest(&settings.fleet_key).into();
-        let traffic = Arc::new(Traffic::default());
+        let traffic = Arc::new(ControlTraffic::default());
         let hello = hello(&settings.host, &fleet_key_sha256, Purpose::Slots);
         let ask_timeout = Duration::from_millis(settings.ask_timeout_ms);
         Ok(Self {
