--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-fn rules_without_settling() -> SlotRules {
+fn settled_rules() -> SlotRules {
     SlotRules {
         settle_ms: 0,
         ..SlotRules::for_load_multiple(1.25)
@@ -54,7 +54,7 @@
         now_ms,
         mean_load,
         false,
-        &rules_without_settling(),
+        &settled_rules(),
     );
     matches!(decision, SlotDecision::Granted { .. })
 }
@@ -62,7 +62,7 @@
 #[test]
 fn limit_is_above_the_mean_and_within_its_multiple() {
     for mean_load in [0.0, 1.0, 4.0, 4.9, 8.0, 42.0] {
-        let limit = rules_without_settling().limit(mean_load, 1.0);
+        let limit = settled_rules().limit(mean_load, 1.0);
         assert_that!(f64::from(limit), gt(mean_load.max(4.0)));
         assert_that!(f64::from(limit), le(1.25 * mean_load.max(4.0)));
     }
@@ -74,10 +74,7 @@
     let granted = (0..20)
         .filter(|_| try_grant(&mut slots, 1, 10, 8.0))
         .count();
-    assert_that!(
-        granted,
-        eq(rules_without_settling().limit(8.0, 1.0) as usize)
-    );
+    assert_that!(granted, eq(settled_rules().limit(8.0, 1.0) as usize));
 }
 
 #[test]
@@ -107,7 +104,7 @@
 #[test]
 fn load_includes_requests_that_only_a_report_shows() {
     let mut slots = EngineSlots::<u8>::new(1.0, 0);
-    slots.report(20_000, 7, &rules_without_settling());
+    slots.report(20_000, 7, &settled_rules());
     assert_that!(slots.load(), eq(7));
 }
 
@@ -119,7 +116,7 @@
     }
     // A report may be up to 8 s old, and grants rose from 0 to 6 meanwhile.
     for in_progress in [0, 3, 6] {
-        slots.report(11_000, in_progress, &rules_without_settling());
+        slots.report(11_000, in_progress, &settled_rules());
         assert_that!(slots.load(), eq(6), "report {in_progress}");
     }
 }
@@ -130,20 +127,20 @@
     for _ in 0..6 {
         try_grant(&mut slots, 1, 1_000, 8.0);
     }
-    slots.report(30_000, 2, &rules_without_settling());
+    slots.report(30_000, 2, &settled_rules());
     assert_that!(slots.load(), eq(2));
 }
 
 #[test]
 fn completed_foreign_requests_leave_the_load_after_local_grants() {
     let mut slots = EngineSlots::new(1.0, 0);
-    slots.report(10_000, 8, &rules_without_settling());
+    slots.report(10_000, 8, &settled_rules());
     // The eight foreign requests complete, and eight local grants replace them.
     for _ in 0..8 {
         try_grant(&mut slots, 1, 11_000, 20.0);
     }
     for second in 12..40 {
-        slots.report(second * 1_000, 8, &rules_without_settling());
+        slots.report(second * 1_000, 8, &settled_rules());
     }
     assert_that!(slots.load(), le(9));
 }
@@ -159,7 +156,7 @@
 #[test]
 fn adopt_after_a_report_converts_foreign_load() {
     let mut slots = EngineSlots::new(1.0, 0);
-    slots.report(20_000, 5, &rules_without_settling());
+    slots.report(20_000, 5, &settled_rules());
     slots.adopt(holder(1), 20_100, 5);
     assert_that!(slots.load(), eq(5));
     assert_that!(slots.granted(), eq(5));
@@ -168,21 +165,14 @@
 #[test]
 fn shared_owners_do_not_exceed_the_limit_in_total() {
     let (mut a, mut b) = (EngineSlots::new(1.0, 0), EngineSlots::new(1.0, 0));
-    let limit = rules_without_settling().limit(8.0, 1.0);
+    let limit = settled_rules().limit(8.0, 1.0);
     for slots in [&mut a, &mut b] {
-        slots.report(20_000, 2, &rules_without_settling());
+        slots.report(20_000, 2, &settled_rules());
     }
     let mut total = 2;
     for now_ms in 20_001..20_100 {
         for slots in [&mut a, &mut b] {
-            let decision = request_slot(
-                slots,
-                holder(1),
-                now_ms,
-                8.0,
-                true,
-                &rules_without_settling(),
-            );
+            let decision = request_slot(slots, holder(1), now_ms, 8.0, true, &settled_rules());
             total += u32::from(matches!(decision, SlotDecision::Granted { .. }));
         }
     }
@@ -190,17 +180,17 @@
     assert_that!(total, gt(2));
 }
 
-fn rules_with_capacity() -> SlotRules {
+fn capped_rules() -> SlotRules {
     SlotRules {
         capacity: 10.0,
-        ..rules_without_settling()
+        ..settled_rules()
     }
 }
 
 /// Requests `count` slots for an organisation and returns how many are granted.
 fn request_slots_for(slots: &mut EngineSlots<u8>, organisation: u32, count: usize) -> usize {
     let holder = holder_of(1, organisation);
-    let mut request = || request_slot(slots, holder, 10, 20.0, false, &rules_with_capacity());
+    let mut request = || request_slot(slots, holder, 10, 20.0, false, &capped_rules());
     (0..count)
         .filter(|_| matches!(request(), SlotDecision::Granted { .. }))
         .count()
@@ -227,25 +217,25 @@
     request_slots_for(&mut slots, 1, 8);
     // Organisation 9 has weight 3 of 4 and so a share of 7.5.
     assert_that!(request_slots_for(&mut slots, 9, 20), eq(2));
-    let decision_when_full = request_slot(
+    let at_bound = request_slot(
         &mut slots,
         holder_of(1, 1),
         10,
         20.0,
         false,
-        &rules_with_capacity(),
+        &capped_rules(),
     );
-    assert_that!(decision_when_full, eq(SlotDecision::AtBound { load: 10 }));
+    assert_that!(at_bound, eq(SlotDecision::AtBound { load: 10 }));
     slots.return_slots(&holder_of(1, 1), 20, 1);
-    let decision_over_share = request_slot(
+    let over_share = request_slot(
         &mut slots,
         holder_of(1, 1),
         30,
         20.0,
         false,
-        &rules_with_capacity(),
+        &capped_rules(),
     );
-    assert_that!(decision_over_share, eq(SlotDecision::OverShare { load: 9 }));
+    assert_that!(over_share, eq(SlotDecision::OverShare { load: 9 }));
     assert_that!(request_slots_for(&mut slots, 9, 1), eq(1));
 }
 
@@ -276,7 +266,7 @@
 
     /// The granted total equals a plain count, and no grant exceeds the limit.
     #[test]
-    fn granted_total_matches_a_plain_count(operations in prop::collection::vec(operation(), 1..200)) {
+    fn grants_match_a_plain_count(operations in prop::collection::vec(operation(), 1..200)) {
         let mut slots = EngineSlots::new(1.0, 0);
         let mut held_by_host: HashMap<u8, u32> = HashMap::new();
         let mut now_ms = 0;
@@ -285,7 +275,7 @@
                 Operation::Request(host) => {
                     if try_grant(&mut slots, host, now_ms, 6.0) {
                         *held_by_host.entry(host).or_default() += 1;
-                        prop_assert!(slots.load() <= rules_without_settling().limit(6.0, 1.0));
+                        prop_assert!(slots.load() <= settled_rules().limit(6.0, 1.0));
                     }
                 }
                 Operation::Return(host) => {
