--- a/crates/routing/tests/fleet_load.rs
+++ b/crates/routing/tests/fleet_load.rs
@@ -105,7 +105,7 @@
     assert_that!(load.total(), eq(u32::MAX));
 }
 
-fn zone_aggregate(zone: u32, hosts: u32, in_progress: u32) -> ZoneAggregate {
+fn aggregate(zone: u32, hosts: u32, in_progress: u32) -> ZoneAggregate {
     ZoneAggregate {
         zone,
         hosts,
@@ -117,24 +117,9 @@
 #[test]
 fn load_counts_one_relay_per_zone() {
     let mut load = FleetLoad::default();
-    load.merge_zone_aggregate(
-        "relay-1",
-        zone_aggregate(1, 20, 40),
-        AggregatePath::Direct,
-        0,
-    );
-    load.merge_zone_aggregate(
-        "relay-2",
-        zone_aggregate(1, 20, 41),
-        AggregatePath::Direct,
-        0,
-    );
-    load.merge_zone_aggregate(
-        "relay-3",
-        zone_aggregate(2, 10, 5),
-        AggregatePath::Direct,
-        0,
-    );
+    load.merge_zone_aggregate("relay-1", aggregate(1, 20, 40), AggregatePath::Direct, 0);
+    load.merge_zone_aggregate("relay-2", aggregate(1, 20, 41), AggregatePath::Direct, 0);
+    load.merge_zone_aggregate("relay-3", aggregate(2, 10, 5), AggregatePath::Direct, 0);
     assert_that!(load.in_progress(ENDPOINT), eq(46));
     assert_that!(load.recent_host_count(0), eq(30));
 }
@@ -142,17 +127,12 @@
 #[test]
 fn load_counts_the_relay_that_covers_most_hosts() {
     let mut load = FleetLoad::default();
-    load.merge_zone_aggregate(
-        "relay-1",
-        zone_aggregate(1, 20, 40),
-        AggregatePath::Direct,
-        0,
-    );
-    load.merge_zone_aggregate("relay-2", zone_aggregate(1, 3, 7), AggregatePath::Direct, 0);
+    load.merge_zone_aggregate("relay-1", aggregate(1, 20, 40), AggregatePath::Direct, 0);
+    load.merge_zone_aggregate("relay-2", aggregate(1, 3, 7), AggregatePath::Direct, 0);
     assert_that!(load.in_progress(ENDPOINT), eq(40));
     load.merge_zone_aggregate(
         "relay-2",
-        zone_aggregate(1, 3, 7),
+        aggregate(1, 3, 7),
         AggregatePath::Direct,
         MAX_REPORT_AGE_MS + 1,
     );
@@ -164,29 +144,18 @@
     let mut load = FleetLoad::default();
     load.begin(ENDPOINT);
     load.merge("local", report(1, 1, 3), 0);
-    load.merge_zone_aggregate("remote", zone_aggregate(2, 9, 50), AggregatePath::Direct, 0);
-    assert_that!(load.zone_aggregate(1, 0), eq(&zone_aggregate(1, 2, 4)));
-    assert_that!(
-        load.remote_zone_aggregates(0),
-        eq(&[zone_aggregate(2, 9, 50)])
-    );
+    load.merge_zone_aggregate("remote", aggregate(2, 9, 50), AggregatePath::Direct, 0);
+    assert_that!(load.zone_aggregate(1, 0), eq(&aggregate(1, 2, 4)));
+    assert_that!(load.remote_zone_aggregates(0), eq(&[aggregate(2, 9, 50)]));
     let later_ms = MAX_REPORT_AGE_MS + 1;
-    assert_that!(
-        load.zone_aggregate(1, later_ms),
-        eq(&zone_aggregate(1, 1, 1))
-    );
+    assert_that!(load.zone_aggregate(1, later_ms), eq(&aggregate(1, 1, 1)));
     assert_that!(load.remote_zone_aggregates(later_ms), is_empty());
 }
 
 #[test]
 fn remote_zone_aggregates_exclude_relayed_ones() {
     let mut load = FleetLoad::default();
-    load.merge_zone_aggregate(
-        "relay-1",
-        zone_aggregate(1, 20, 40),
-        AggregatePath::Relayed,
-        0,
-    );
+    load.merge_zone_aggregate("relay-1", aggregate(1, 20, 40), AggregatePath::Relayed, 0);
     assert_that!(load.in_progress(ENDPOINT), eq(40));
     assert_that!(load.remote_zone_aggregates(0), is_empty());
 }
@@ -200,7 +169,7 @@
     });
     ZoneAggregate {
         counts: counts.collect(),
-        ..zone_aggregate(1, hosts, 0)
+        ..aggregate(1, hosts, 0)
     }
 }
 
@@ -269,9 +238,9 @@
     load.report(1, 2);
     load.begin(ENDPOINT);
     // Ten requests in the fleet, one of them in this host's first report.
-    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 50, 10), report_id(1), 0);
+    load.merge_fleet_aggregate("relay", &aggregate(1, 50, 10), report_id(1), 0);
     assert_that!(load.in_progress(ENDPOINT), eq(9 + 3));
-    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 50, 11), report_id(2), 0);
+    load.merge_fleet_aggregate("relay", &aggregate(1, 50, 11), report_id(2), 0);
     assert_that!(load.in_progress(ENDPOINT), eq(9 + 3));
     assert_that!(load.total(), eq(12));
     assert_that!(load.known_host_count(), eq(50));
@@ -284,7 +253,7 @@
     load.begin(ENDPOINT);
     load.report(2, 1);
     for included in [report_id(1), None] {
-        load.merge_fleet_aggregate("relay", &zone_aggregate(1, 50, 10), included, 0);
+        load.merge_fleet_aggregate("relay", &aggregate(1, 50, 10), included, 0);
         assert_that!(load.in_progress(ENDPOINT), eq(10 + 1));
     }
 }
@@ -295,10 +264,10 @@
     load.merge("local-1", report(1, 1, 3), 0);
     load.merge("local-2", report(1, 1, 4), 0);
     // A relay that just started covers fewer hosts than the direct reports.
-    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 2, 1), None, 0);
+    load.merge_fleet_aggregate("relay", &aggregate(1, 2, 1), None, 0);
     assert_that!(load.in_progress(ENDPOINT), eq(7));
     assert_that!(load.uses_fleet_aggregate(), eq(false));
-    load.merge_fleet_aggregate("relay", &zone_aggregate(1, 4, 20), None, 0);
+    load.merge_fleet_aggregate("relay", &aggregate(1, 4, 20), None, 0);
     assert_that!(load.in_progress(ENDPOINT), eq(20));
     // Direct reports remain when the relays are silent.
     let later_ms = MAX_REPORT_AGE_MS + 1;
@@ -313,9 +282,9 @@
     let mut load = FleetLoad::default();
     load.begin(ENDPOINT);
     load.merge("local", report(1, 5, 3), 0);
-    load.merge_zone_aggregate("remote", zone_aggregate(2, 9, 50), AggregatePath::Direct, 0);
-    load.merge_fleet_aggregate("other-relay", &zone_aggregate(1, 99, 900), None, 0);
-    assert_that!(load.fleet_aggregate(1), eq(&zone_aggregate(1, 11, 54)));
+    load.merge_zone_aggregate("remote", aggregate(2, 9, 50), AggregatePath::Direct, 0);
+    load.merge_fleet_aggregate("other-relay", &aggregate(1, 99, 900), None, 0);
+    assert_that!(load.fleet_aggregate(1), eq(&aggregate(1, 11, 54)));
     assert_that!(load.included_report(&"local"), eq(report_id(5)));
     assert_that!(load.included_report(&"unknown"), none());
 }
@@ -336,9 +305,9 @@
     (0..4).for_each(|_| leaf.begin(ENDPOINT));
     (0..4).for_each(|_| direct.begin(ENDPOINT));
     relay.merge(leaf_address, leaf.report(1, 1), 0);
-    let aggregate = relay.fleet_aggregate(1);
+    let combined = relay.fleet_aggregate(1);
     let includes = relay.included_report(&leaf_address);
-    for chunk in aggregate.split(1) {
+    for chunk in combined.split(1) {
         leaf.merge_fleet_aggregate(999, &chunk, includes, 100);
     }
     leaf.begin(ENDPOINT);
@@ -371,7 +340,7 @@
             let chunk = ZoneAggregate {
                 range,
                 counts: counts.collect(),
-                ..zone_aggregate(zone, u32::from(relay) + in_progress % 2, 0)
+                ..aggregate(zone, u32::from(relay) + in_progress % 2, 0)
             };
             load.merge_zone_aggregate(relay, chunk, AggregatePath::Direct, now_ms);
             load.merge(relay, report(1, now_ms, in_progress), now_ms);
@@ -379,7 +348,7 @@
         now_ms += MAX_REPORT_AGE_MS + 1;
         load.expire(now_ms);
         prop_assert_eq!(load.total(), 0);
-        load.merge_zone_aggregate(0, zone_aggregate(0, 1, count), AggregatePath::Direct, now_ms);
+        load.merge_zone_aggregate(0, aggregate(0, 1, count), AggregatePath::Direct, now_ms);
         prop_assert_eq!(load.total(), count);
     }
 
